--- a/packages/core/src/admission/expected_wait.ts
+++ b/packages/core/src/admission/expected_wait.ts
@@ -5,7 +5,7 @@
 }
 
 /** The weight of the last statement in the mean. */
-const SERVICE_WEIGHT = 0.05;
+const LATEST_SAMPLE_WEIGHT = 0.05;
 
 /** The estimate after one more statement. */
 export function afterService(
@@ -14,7 +14,7 @@
 ): ServiceEstimate {
   if (estimate.meanMs === 0) return {meanMs: heldMs};
   const {meanMs} = estimate;
-  return {meanMs: meanMs + (heldMs - meanMs) * SERVICE_WEIGHT};
+  return {meanMs: meanMs + (heldMs - meanMs) * LATEST_SAMPLE_WEIGHT};
 }
 
 /**
@@ -24,8 +24,8 @@
 export function expectedWaitMs(
   estimate: ServiceEstimate,
   ahead: number,
-  places: number,
+  connections: number,
 ): number {
-  if (places <= 0) return 0;
-  return (estimate.meanMs * (ahead + 1)) / places;
+  if (connections <= 0) return 0;
+  return (estimate.meanMs * (ahead + 1)) / connections;
 }
--- a/packages/core/src/authority/__tests__/confirmation_limit.test.ts
+++ b/packages/core/src/authority/__tests__/confirmation_limit.test.ts
@@ -23,9 +23,9 @@
   private readonly instances: string[];
   private readonly members;
   private readonly pending: Array<{at: number; run: () => void}> = [];
-  private stored = 1;
+  private storedVersion = 1;
   /** When a majority had acknowledged each version. */
-  private readonly completed = new Map<number, number>();
+  private readonly completedAt = new Map<number, number>();
   private reachable: boolean[][] = [];
   private time = 0;
 
@@ -46,8 +46,8 @@
     );
     this.states = this.instances.map(name => initialAuthority(name));
     for (const [vm] of this.states.entries()) {
-      this.tell(vm, {kind: 'applied', versions: {configuration: 1, ledger: 1}});
-      this.tell(vm, {kind: 'ledger-members', members: this.members});
+      this.applyEvent(vm, {kind: 'applied', versions: {configuration: 1, ledger: 1}});
+      this.applyEvent(vm, {kind: 'ledger-members', members: this.members});
       this.readRow(vm, 'ledger');
     }
   }
@@ -57,19 +57,19 @@
     for (let step = 0; step < STEPS; step++) {
       this.time = step * STEP_MS;
       if (step % 100 === 0) this.partition();
-      if (this.random.fraction() < 0.05) this.change();
-      for (const [vm] of this.states.entries()) this.act(vm);
+      if (this.random.fraction() < 0.05) this.writeNextVersion();
+      for (const [vm] of this.states.entries()) this.stepVm(vm);
       for (const item of this.pending.filter(p => p.at <= this.time)) {
         this.pending.splice(this.pending.indexOf(item), 1);
         item.run();
       }
-      const breach = this.check();
-      if (breach) return breach;
+      const violation = this.check();
+      if (violation) return violation;
     }
     return undefined;
   }
 
-  private act(vm: number): void {
+  private stepVm(vm: number): void {
     const state = this.states[vm] as AuthorityState;
     if (this.isLinked(vm, -1) && this.random.fraction() < 0.1) {
       this.readRow(vm, 'configuration');
@@ -80,23 +80,23 @@
     }
     // VMs differ in how long they take to fetch and apply a version.
     if (this.random.fraction() < (this.applyRates[vm] ?? 1)) {
-      this.tell(vm, {kind: 'applied', versions: state.known});
+      this.applyEvent(vm, {kind: 'applied', versions: state.known});
     }
   }
 
   private probe(from: number, to: number): void {
     if (from === to || !this.isLinked(from, to)) return;
-    const sentAt = this.clock(from);
+    const sentAt = this.clockOf(from);
     const request = this.report(from);
-    this.later(() => {
-      this.tell(to, {
+    this.deliverLater(() => {
+      this.applyEvent(to, {
         kind: 'probed',
         instance: this.instances[from] ?? '',
         report: request,
       });
       const answer = this.report(to);
-      this.later(() =>
-        this.tell(from, {
+      this.deliverLater(() =>
+        this.applyEvent(from, {
           kind: 'answered',
           instance: this.instances[to] ?? '',
           report: answer,
@@ -107,31 +107,31 @@
   }
 
   private readRow(vm: number, row: 'configuration' | 'ledger'): void {
-    const startedAt = this.clock(vm);
-    const version = row === 'ledger' ? 1 : this.stored;
-    this.later(() =>
-      this.tell(vm, {kind: 'row-read', row, version, startedAt}),
+    const startedAt = this.clockOf(vm);
+    const version = row === 'ledger' ? 1 : this.storedVersion;
+    this.deliverLater(() =>
+      this.applyEvent(vm, {kind: 'row-read', row, version, startedAt}),
     );
   }
 
   /** One VM writes the next version once the last one has completed. */
-  private change(): void {
-    if (this.stored === 1 || this.completed.has(this.stored)) this.stored++;
+  private writeNextVersion(): void {
+    if (this.storedVersion === 1 || this.completedAt.has(this.storedVersion)) this.storedVersion++;
   }
 
   private check(): string | undefined {
-    const versions = {configuration: this.stored, ledger: 1};
+    const versions = {configuration: this.storedVersion, ledger: 1};
     const hasMajority = this.states.some(state =>
       isAcknowledgedByMajority(state, this.members, versions),
     );
-    if (hasMajority && !this.completed.has(this.stored)) {
-      this.completed.set(this.stored, this.time);
+    if (hasMajority && !this.completedAt.has(this.storedVersion)) {
+      this.completedAt.set(this.storedVersion, this.time);
     }
-    for (const [version, at] of this.completed) {
+    for (const [version, at] of this.completedAt) {
       if (this.time < at + CONFIRM_LIMIT_MS) continue;
       for (const [vm, state] of this.states.entries()) {
         if (state.applied.configuration >= version) continue;
-        if (confirmationAt(state, this.clock(vm)) === 'confirmed') {
+        if (confirmationAt(state, this.clockOf(vm)) === 'confirmed') {
           return `${this.instances[vm]} at ${this.time} lacks ${version}`;
         }
       }
@@ -139,19 +139,19 @@
     return undefined;
   }
 
-  private tell(vm: number, event: AuthorityEvent): void {
+  private applyEvent(vm: number, event: AuthorityEvent): void {
     const state = this.states[vm] as AuthorityState;
-    this.states[vm] = decideAuthority(state, event, this.clock(vm));
+    this.states[vm] = decideAuthority(state, event, this.clockOf(vm));
   }
 
   private report(vm: number) {
-    return versionReport(this.states[vm] as AuthorityState, this.clock(vm));
+    return versionReport(this.states[vm] as AuthorityState, this.clockOf(vm));
   }
 
-  private later(run: () => void): void {
+  private deliverLater(run: () => void): void {
     // Some messages are held up for longer than the limit.
-    const slow = this.random.fraction() < 0.3 ? 3 * CONFIRM_LIMIT_MS : 500;
-    this.pending.push({at: this.time + this.random.integer(0, slow), run});
+    const maxDelayMs = this.random.fraction() < 0.3 ? 3 * CONFIRM_LIMIT_MS : 500;
+    this.pending.push({at: this.time + this.random.integer(0, maxDelayMs), run});
   }
 
   /** Index -1 stands for the store. */
@@ -160,16 +160,16 @@
   }
 
   private partition(): void {
-    const share = this.random.pick([1, 0.5, 0.2]) ?? 1;
+    const linkProbability = this.random.pick([1, 0.5, 0.2]) ?? 1;
     this.reachable = this.states.map(() =>
       Array.from(
         {length: this.states.length + 1},
-        () => this.random.fraction() < share,
+        () => this.random.fraction() < linkProbability,
       ),
     );
   }
 
-  private clock(vm: number): number {
+  private clockOf(vm: number): number {
     return this.time + (this.offsets[vm] ?? 0);
   }
 }
@@ -183,8 +183,8 @@
         fc.integer({min: 2, max: 7}),
         fc.integer({min: 1, max: 1 << 30}),
         (count, seed) => {
-          const breach = new Model(count, seed).run();
-          if (breach) throw new Error(breach);
+          const violation = new Model(count, seed).run();
+          if (violation) throw new Error(violation);
         },
       ),
       {numRuns: 60, seed: 11},
--- a/packages/core/src/authority/decide_authority.ts
+++ b/packages/core/src/authority/decide_authority.ts
@@ -46,9 +46,9 @@
 ): AuthorityState {
   switch (event.kind) {
     case 'row-read':
-      return rowRead(state, event, now);
+      return applyRowRead(state, event, now);
     case 'answered':
-      return answered(state, event, now);
+      return applyAnswer(state, event, now);
     case 'probed':
       return {
         ...state,
@@ -78,7 +78,7 @@
 }
 
 /** Proof (a): both rows were read, the older read counts. */
-function rowRead(
+function applyRowRead(
   state: AuthorityState,
   event: Extract<AuthorityEvent, {kind: 'row-read'}>,
   now: number,
@@ -106,7 +106,7 @@
  * Proofs (b) and (c). A relayed proof is dated back from the time at which the
  * probe was sent, since the time that the answer took is not known.
  */
-function answered(
+function applyAnswer(
   state: AuthorityState,
   event: Extract<AuthorityEvent, {kind: 'answered'}>,
   now: number,
@@ -170,14 +170,14 @@
   const current = state.proofs.filter(
     other => other.at > now - CONFIRM_LIMIT_MS,
   );
-  if (current.some(other => isAtLeastAsGood(other, proof))) {
+  if (current.some(other => supersedes(other, proof))) {
     return {...state, proofs: current};
   }
-  const others = current.filter(other => !isAtLeastAsGood(proof, other));
+  const others = current.filter(other => !supersedes(proof, other));
   return {...state, proofs: [...others, proof]};
 }
 
 /** Whether `a` confirms all that `b` confirms, for as long. */
-function isAtLeastAsGood(a: ConfirmationProof, b: ConfirmationProof): boolean {
+function supersedes(a: ConfirmationProof, b: ConfirmationProof): boolean {
   return a.at >= b.at && coversVersions(b.versions, a.versions);
 }
--- a/packages/core/src/connections/forward_targets.ts
+++ b/packages/core/src/connections/forward_targets.ts
@@ -16,7 +16,7 @@
   self: OwnerCandidate,
   owners: readonly OwnerView[],
 ): OwnerView[] {
-  const spread = rendezvousOrder(
+  const spreadOrder = rendezvousOrder(
     self.vm,
     owners.map(owner => owner.vm),
   );
@@ -27,6 +27,6 @@
     .filter(owner => owner.state === 'alive' || owner.state === 'suspect')
     .sort(
       (a, b) =>
-        cost(a) - cost(b) || spread.indexOf(a.vm) - spread.indexOf(b.vm),
+        cost(a) - cost(b) || spreadOrder.indexOf(a.vm) - spreadOrder.indexOf(b.vm),
     );
 }
--- a/packages/core/src/connections/group_owners.ts
+++ b/packages/core/src/connections/group_owners.ts
@@ -32,7 +32,7 @@
   if (mode === 'owners') return firstOfEachDataCentre(ordered);
   return connectionAllowance(group.connectionLimit, ordered.length) >= 1
     ? ordered
-    : ordered.slice(0, mostOwners(group.connectionLimit));
+    : ordered.slice(0, maxOwners(group.connectionLimit));
 }
 
 /**
@@ -49,7 +49,7 @@
 }
 
 /** The greatest number of owners that leaves each an allowance of one. */
-function mostOwners(connectionLimit: number): number {
+function maxOwners(connectionLimit: number): number {
   return Math.max(0, Math.floor((connectionLimit - 1) / 2));
 }
 
--- a/packages/core/src/quota/__tests__/fault_schedule.ts
+++ b/packages/core/src/quota/__tests__/fault_schedule.ts
@@ -8,14 +8,15 @@
 
 const WORKSPACE = 'w';
 const VM_COUNT = 4;
-const RATE = 40;
-const BURST = 40;
-/** VM clocks run at most this much faster or slower than real time. */
-const DRIFT = 0.04;
-const CLOCK_RATES = [1, 1 + DRIFT, 1 - DRIFT, 1];
+const RATE_PER_SECOND = 40;
+const BURST_TOKENS = 40;
+/** The largest deviation of a VM clock's rate from real time. */
+const MAX_DRIFT_FRACTION = 0.04;
+const CLOCK_RATES = [1, 1 + MAX_DRIFT_FRACTION, 1 - MAX_DRIFT_FRACTION, 1];
 
-/** One step of a schedule, after a pause of `afterMs`. */
+/** One step of a fault schedule. */
 export interface FaultStep {
+  /** The time between the previous step and this one. */
   readonly afterMs: number;
   readonly kind:
     | 'statements'
@@ -28,7 +29,9 @@
     | 'cut'
     | 'heal'
     | 'tick';
+  /** The index of the VM that the step affects. */
   readonly vm: number;
+  /** A count or duration; its meaning depends on the kind. */
   readonly amount: number;
 }
 
@@ -39,40 +42,40 @@
   readonly content: QuotaMessage;
 }
 
-interface Node {
+interface SimulatedVm {
   state: QuotaState;
   restarts: number;
   pausedUntil: number;
 }
 
 /**
- * Runs a schedule and returns how the bounds were broken, or an empty list.
- * Messages stay on their way until a step delivers or loses them.
+ * Runs a schedule and returns the violations of the bounds, if any. Messages
+ * stay in flight until a step delivers or drops them.
  */
 export function runFaultSchedule(
   seed: number,
   steps: readonly FaultStep[],
 ): string[] {
-  const run = new FaultRun(seed);
+  const run = new FaultSimulation(seed);
   for (const step of steps) run.step(step);
-  return run.broken;
+  return run.violations;
 }
 
-class FaultRun {
-  readonly broken: string[] = [];
+class FaultSimulation {
+  readonly violations: string[] = [];
   private readonly random: Random;
-  private readonly nodes: Node[] = [];
+  private readonly vms: SimulatedVm[] = [];
   private readonly delivered: Message[] = [];
-  private onTheWay: Message[] = [];
+  private inFlight: Message[] = [];
   private readonly admitted: number[] = [];
   private now = 0;
   private ticket = 0;
-  private cutOff: 'none' | 'halves' = 'none';
+  private partition: 'none' | 'halves' = 'none';
 
   constructor(seed: number) {
     this.random = new Random(seed);
     for (let vm = 0; vm < VM_COUNT; vm++) {
-      this.nodes.push({
+      this.vms.push({
         state: newQuotaState(''),
         restarts: 0,
         pausedUntil: 0,
@@ -83,12 +86,12 @@
 
   step(step: FaultStep): void {
     this.now += step.afterMs;
-    const node = this.nodes[step.vm] as Node;
+    const simulated = this.vms[step.vm] as SimulatedVm;
     switch (step.kind) {
       case 'statements':
         for (let i = 0; i < step.amount; i++) {
           const ticket = ++this.ticket;
-          const until = this.clock(step.vm) + 200;
+          const until = this.clockOf(step.vm) + 200;
           this.decide(step.vm, {
             kind: 'admit',
             workspace: WORKSPACE,
@@ -103,43 +106,45 @@
       case 'repeat':
         if (this.delivered.length > 0) {
           const at = step.amount % this.delivered.length;
-          this.onTheWay.push(this.delivered[at] as Message);
+          this.inFlight.push(this.delivered[at] as Message);
           this.deliver();
         }
         break;
       case 'lose':
-        this.onTheWay.splice(0, step.amount);
+        this.inFlight.splice(0, step.amount);
         break;
       case 'restart':
         this.restart(step.vm);
         break;
       case 'pause':
-        node.pausedUntil = this.now + step.amount * 500;
+        simulated.pausedUntil = this.now + step.amount * 500;
         break;
       case 'unconfirmed':
         this.decide(step.vm, {
           kind: 'share',
           sharePpm: WHOLE_PPM / VM_COUNT,
-          confirmedUntil: this.clock(step.vm) + step.amount * 100,
+          confirmedUntil: this.clockOf(step.vm) + step.amount * 100,
         });
         break;
       case 'cut':
-        this.cutOff = 'halves';
+        this.partition = 'halves';
         break;
       case 'heal':
-        this.cutOff = 'none';
+        this.partition = 'none';
         break;
       case 'tick':
         this.decide(step.vm, {kind: 'tick'});
         break;
     }
-    this.check();
+    this.checkBounds();
   }
 
   private start(vm: number): void {
-    const node = this.nodes[vm] as Node;
-    node.state = newQuotaState(this.name(vm));
-    const limits = new Map([[WORKSPACE, {rate: RATE, burst: BURST}]]);
+    const simulated = this.vms[vm] as SimulatedVm;
+    simulated.state = newQuotaState(this.incarnationOf(vm));
+    const limits = new Map([
+      [WORKSPACE, {rate: RATE_PER_SECOND, burst: BURST_TOKENS}],
+    ]);
     const sharePpm = WHOLE_PPM / VM_COUNT;
     this.decide(vm, {kind: 'limits', limits});
     this.decide(vm, {kind: 'share', sharePpm, confirmedUntil: Infinity});
@@ -149,51 +154,53 @@
     });
   }
 
-  /** A new incarnation gets its share when loans of the former have ended. */
+  /** The new incarnation gets its share once the old one's loans have ended. */
   private restart(vm: number): void {
-    const node = this.nodes[vm] as Node;
-    node.restarts++;
-    node.pausedUntil = 0;
-    node.state = newQuotaState(this.name(vm));
-    const limits = new Map([[WORKSPACE, {rate: RATE, burst: BURST}]]);
+    const simulated = this.vms[vm] as SimulatedVm;
+    simulated.restarts++;
+    simulated.pausedUntil = 0;
+    simulated.state = newQuotaState(this.incarnationOf(vm));
+    const limits = new Map([
+      [WORKSPACE, {rate: RATE_PER_SECOND, burst: BURST_TOKENS}],
+    ]);
     this.decide(vm, {kind: 'limits', limits});
-    node.pausedUntil = this.now + 3_300 / (1 - DRIFT);
-    this.now = node.pausedUntil;
+    simulated.pausedUntil = this.now + 3_300 / (1 - MAX_DRIFT_FRACTION);
+    this.now = simulated.pausedUntil;
     this.start(vm);
   }
 
-  private name(vm: number): string {
-    return `${vm}#${this.nodes[vm]?.restarts ?? 0}`;
+  private incarnationOf(vm: number): string {
+    return `${vm}#${this.vms[vm]?.restarts ?? 0}`;
   }
 
-  private clock(vm: number): number {
+  private clockOf(vm: number): number {
     return 1_000 * vm + this.now * (CLOCK_RATES[vm] as number);
   }
 
   private deliver(): void {
-    const message = this.onTheWay.shift();
+    const message = this.inFlight.shift();
     if (!message) return;
     const {from, to} = message;
     const separated = from < 2 !== to < 2;
-    if (this.cutOff === 'halves' && separated) return;
+    if (this.partition === 'halves' && separated) return;
     this.delivered.push(message);
-    if (this.nodes[to]?.state.self !== message.incarnation) {
-      // An answer reaches only the process that asked.
+    if (this.vms[to]?.state.self !== message.incarnation) {
+      // An answer reaches only the process that sent the request.
       if (message.content.kind === 'loan-answered') return;
     }
     this.decide(to, message.content, from);
   }
 
   private decide(vm: number, content: QuotaMessage, from = vm): void {
-    const node = this.nodes[vm] as Node;
-    if (this.now < node.pausedUntil) return;
+    const simulated = this.vms[vm] as SimulatedVm;
+    if (this.now < simulated.pausedUntil) return;
     const {state, effects} = decideQuota(
-      node.state,
+      simulated.state,
       content,
       this.random,
-      this.clock(vm),
+      this.clockOf(vm),
     );
-    node.state = state;
+    simulated.state = state;
     for (const effect of effects) this.apply(vm, from, effect);
   }
 
@@ -225,43 +232,45 @@
   }
 
   private send(from: number, to: number, content: QuotaMessage): void {
-    const incarnation = this.nodes[to]?.state.self ?? '';
-    this.onTheWay.push({from, to, incarnation, content});
+    const incarnation = this.vms[to]?.state.self ?? '';
+    this.inFlight.push({from, to, incarnation, content});
   }
 
-  private check(): void {
+  private checkBounds(): void {
     let tokens = 0;
     let ratePpm = 0;
-    this.nodes.forEach((node, vm) => {
-      const quota = node.state.workspaces.get(WORKSPACE);
+    this.vms.forEach((simulated, vm) => {
+      const quota = simulated.state.workspaces.get(WORKSPACE);
       if (!quota) return;
-      const account = accrue(quota.account, this.clock(vm));
+      const account = accrue(quota.account, this.clockOf(vm));
       tokens += account.tokens;
       ratePpm += rawRatePpm(account);
     });
-    if (tokens > BURST + 1e-6) {
-      this.broken.push(`${tokens} tokens at ${this.now}`);
+    if (tokens > BURST_TOKENS + 1e-6) {
+      this.violations.push(`${tokens} tokens at ${this.now}`);
     }
     if (ratePpm > WHOLE_PPM) {
-      this.broken.push(`${ratePpm} ppm of the rate at ${this.now}`);
+      this.violations.push(`${ratePpm} ppm of the rate at ${this.now}`);
     }
     this.checkWindows();
   }
 
-  /** Every window that ends now holds at most burst + rate * its length. */
+  /** Each window that ends now admits at most burst + rate * length. */
   private checkWindows(): void {
     const {admitted} = this;
     for (let i = admitted.length - 1; i >= 0; i--) {
       const seconds = (this.now - (admitted[i] as number)) / 1_000;
-      const bound = BURST + RATE * (1 + DRIFT) * seconds;
+      const bound =
+        BURST_TOKENS + RATE_PER_SECOND * (1 + MAX_DRIFT_FRACTION) * seconds;
       if (admitted.length - i > bound + 1e-6) {
-        this.broken.push(`${admitted.length - i} admitted in ${seconds} s`);
+        this.violations.push(`${admitted.length - i} admitted in ${seconds} s`);
         return;
       }
     }
   }
 }
 
+/** The account's share of the rate, computed independently of the code. */
 function rawRatePpm(account: ReturnType<typeof accrue>): number {
   const own = account.at < account.confirmedUntil ? account.sharePpm : 0;
   const lent = account.lent.reduce((sum, item) => sum + item.grant.ratePpm, 0);
--- a/packages/core/src/quota/__tests__/ledger.test.ts
+++ b/packages/core/src/quota/__tests__/ledger.test.ts
@@ -25,8 +25,8 @@
 }
 
 describe('ledger', () => {
-  // Guards against shares that add up to more than the whole.
-  it('gives joining VMs only what is free', () => {
+  // Guards against shares that sum to more than 100 %.
+  it('assigns only free share to joining VMs', () => {
     const alone = joinLedger(EMPTY_LEDGER, vm('a'));
     const joined = joinLedger(alone, vm('b'));
     const lending = balanceShare(joined, 'a', 700_000);
@@ -38,8 +38,8 @@
     ).toMatchSnapshot();
   });
 
-  // Guards against a share that is given away while its VM may still use it.
-  it('reclaims after a majority acknowledged the intent and a wait', () => {
+  // Guards against reassigning a share that its VM may still use.
+  it('reclaims a share after majority acknowledgement and a wait', () => {
     let ledger = EMPTY_LEDGER;
     for (const name of ['a', 'b', 'c']) ledger = joinLedger(ledger, vm(name));
     const intended = intendReclaim(ledger, 'a');
@@ -60,8 +60,8 @@
     }).toMatchSnapshot();
   });
 
-  // Guards against taking over the share of another VM that is alive.
-  it('takes only an earlier run at the same address for ended', () => {
+  // Guards against reclaiming the share of another VM that is still running.
+  it('regards only predecessors at the same address as ended', () => {
     const ledger = joinLedger(joinLedger(EMPTY_LEDGER, vm('a', 'a1')), vm('b'));
     const own = vm('a', 'a2');
     expect([
--- a/packages/core/src/quota/__tests__/loan_cases.test.ts
+++ b/packages/core/src/quota/__tests__/loan_cases.test.ts
@@ -35,7 +35,7 @@
     return accrue(account, now);
   }
 
-  shown(now: number) {
+  summaryAt(now: number) {
     const account = this.account(now);
     return {
       tokens: account.tokens,
@@ -64,9 +64,9 @@
 }
 
 describe('loans', () => {
-  // Guards against a lender that counts a share twice when the first request
-  // of a renewed loan comes again.
-  it('recognises a late repeated request after a renewal', () => {
+  // Guards against a lender that lends a share twice when the original request
+  // of a renewed loan is delivered again.
+  it('recognises a late duplicate of the request after a renewal', () => {
     const lender = new Vm('l', 500_000);
     const first = request('r1', {ratePpm: 400_000});
     const grants = [
@@ -74,12 +74,14 @@
       lender.decide(request('r2', {kind: 'renewal', loanId: 'r1'}), 3_000),
       lender.decide(first, 3_500),
     ];
-    const after = [3_500, 4_400, 6_200, 6_400].map(now => lender.shown(now));
+    const after = [3_500, 4_400, 6_200, 6_400].map(now =>
+      lender.summaryAt(now),
+    );
     expect({grants, after}).toMatchSnapshot();
   });
 
-  // Guards against capacity that is lent on for longer than it is borrowed.
-  it('does not lend on capacity from a loan that ends first', () => {
+  // Guards against lending borrowed burst for longer than it is borrowed.
+  it('does not lend burst borrowed through a loan that ends earlier', () => {
     const vm = new Vm('v', 0);
     vm.decide({kind: 'peers', peers: ['l']}, 0);
     const admit = {kind: 'admit', workspace: 'w', ticket: 1} as const;
@@ -105,14 +107,14 @@
     );
     const wanted = {kind: 'tokens', tokens: 2} as const;
     expect({
-      before: vm.shown(5),
+      before: vm.summaryAt(5),
       lent: vm.decide(request('r1', wanted), 5),
-      after: vm.shown(51),
+      after: vm.summaryAt(51),
     }).toMatchSnapshot();
   });
 
-  // Guards against a loan that outlives the confirmation of its lender, whose
-  // share may be reclaimed after that.
+  // Guards against a loan that outlives its lender's confirmation, after which
+  // the lender's share may be reclaimed.
   it('ends a loan before the lender becomes unconfirmed', () => {
     const lender = new Vm('l', 500_000, 2_000);
     expect(
@@ -120,8 +122,9 @@
     ).toMatchSnapshot();
   });
 
-  // Guards against a higher rate that counts while others use a lower one.
-  it('lowers limits at once and raises them later', () => {
+  // Guards against enforcing raised limits while other VMs may still enforce
+  // lower ones.
+  it('lowers limits at once and raises them with a delay', () => {
     const lower = {rate: 50, burst: 20};
     const first = changeLimits(undefined, LIMITS, 0);
     const lowered = changeLimits(first, lower, 1_000);
--- a/packages/core/src/quota/__tests__/quota_bound.test.ts
+++ b/packages/core/src/quota/__tests__/quota_bound.test.ts
@@ -31,8 +31,8 @@
 });
 
 describe('bound of rate and burst', () => {
-  // Guards against share or tokens that count on two VMs at once.
-  it('holds under lost, late and repeated messages, restarts and pauses', () => {
+  // Guards against share or tokens that two VMs use at the same time.
+  it('holds with lost, late and duplicate messages, restarts and pauses', () => {
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: 1_000}),
--- a/packages/core/src/quota/borrow.ts
+++ b/packages/core/src/quota/borrow.ts
@@ -12,53 +12,55 @@
 import {accrue, capped, ratePpmOf} from './token_account.js';
 import type {TokenAccount} from './token_account.js';
 
-/** A request without an answer is given up after this time. */
-const ANSWER_WAIT_MS = TOKEN_LOAN_MS;
+/** A loan request is dropped if no answer arrives within this time. */
+const ANSWER_TIMEOUT_MS = TOKEN_LOAN_MS;
 
-/** The peers asked at a time. More answers at once would lend too much. */
-const PARALLEL_REQUESTS = 4;
+/** Pending requests per kind. With more, the grants could exceed the need. */
+const MAX_PARALLEL_REQUESTS = 4;
 
 /**
- * Part of an even share. A smaller lack is left to loans of tokens, since many
- * small loans of share cost many renewals.
+ * The smallest share request, as a fraction of an even share. A smaller shortage
+ * is covered by token loans, since many small share loans need many renewals.
  */
-const SMALLEST_REQUEST = 0.25;
+const MIN_SHARE_REQUEST_FRACTION = 0.25;
 
-/** A loan is prolonged in the last part of its time. */
-const RENEWAL_MS = 1_000;
+/** A share loan is renewed when less than this time remains. */
+const RENEWAL_WINDOW_MS = 1_000;
 
-/** How long the answer of a peer guides the choice of the next. */
-const SPARE_VALID_MS = 500;
+/** How long the spare tokens that a peer reported guide the choice of lender. */
+const SPARE_VALIDITY_MS = 500;
 
-/** A peer that lends no share is asked again after this time. */
+/** A peer that declined a share loan is asked again after this time. */
 const SHARE_RETRY_MS = 500;
 
-/** Tokens below this count as none; they are rounding. */
-const SMALLEST_TOKENS = 1e-6;
+/** A smaller shortage of tokens is a rounding error and is ignored. */
+const MIN_MISSING_TOKENS = 1e-6;
 
-/** What a peer said it could still lend. */
+/** What a peer last reported that it can lend. */
 export interface PeerSpare {
   readonly tokens: number;
   readonly at: number;
-  /** When it last answered that it lends no share. */
+  /** When the peer last declined a share loan, or -Infinity. */
   readonly declinedShareAt: number;
 }
 
-/** What a borrower knows when it chooses lenders. */
+/** The inputs for the choice of lenders. */
 export interface BorrowContext {
+  /** The incarnation of the borrower. */
   readonly self: string;
   readonly workspace: string;
-  /** The incarnations of the other VMs that can be reached. */
+  /** The incarnations of the reachable peers. */
   readonly peers: readonly string[];
+  /** What peers last reported that they can lend, by incarnation. */
   readonly spare: ReadonlyMap<string, PeerSpare>;
-  /** Statements that wait for a token. */
+  /** The number of statements that wait for a token. */
   readonly waiting: number;
   /** Returns a request id that this incarnation has not used. */
   readonly nextId: () => string;
   readonly random: Random;
 }
 
-/** Counts a granted loan. A late, repeated or unknown grant changes nothing. */
+/** Applies an answer. A late, repeated or unknown grant adds no loan. */
 export function acceptGrant(
   account: TokenAccount,
   grant: LoanGrant,
@@ -110,7 +112,7 @@
   });
 }
 
-/** Forgets a request whose answer is lost. */
+/** Removes a pending request whose answer is lost. */
 export function abandonRequest(
   account: TokenAccount,
   requestId: string,
@@ -123,7 +125,7 @@
   };
 }
 
-/** Chooses what to ask for from which peer, by demand and waiting statements. */
+/** Chooses the loan requests to send, by demand and waiting statements. */
 export function planRequests(
   account: TokenAccount,
   context: BorrowContext,
@@ -132,7 +134,9 @@
   const state = accrue(account, now);
   const current = {
     ...state,
-    pending: state.pending.filter(item => now - item.sentAt < ANSWER_WAIT_MS),
+    pending: state.pending.filter(
+      item => now - item.sentAt < ANSWER_TIMEOUT_MS,
+    ),
   };
   const sent = [
     ...renewals(current, context, now),
@@ -145,25 +149,26 @@
   };
 }
 
+/** Renews the share loans that the VM's demand still needs. */
 function renewals(
   state: TokenAccount,
   context: BorrowContext,
   now: number,
 ): PendingLoan[] {
-  const needed = neededPpm(state, now);
-  let held = ratePpmOf(state);
+  const neededSharePpm = neededPpm(state, now);
+  let heldPpm = ratePpmOf(state);
   const due = state.borrowed.filter(
     loan =>
       loan.kind === 'share' &&
       loan.renewal === 'possible' &&
-      loan.expiresAt - now < RENEWAL_MS &&
+      loan.expiresAt - now < RENEWAL_WINDOW_MS &&
       context.peers.includes(loan.lender) &&
       !state.pending.some(item => item.request.loanId === loan.loanId),
   );
   const sent: PendingLoan[] = [];
   for (const loan of due) {
-    if (held - loan.ratePpm >= needed) {
-      held -= loan.ratePpm;
+    if (heldPpm - loan.ratePpm >= neededSharePpm) {
+      heldPpm -= loan.ratePpm;
       continue;
     }
     const {loanId} = loan;
@@ -177,59 +182,69 @@
   context: BorrowContext,
   now: number,
 ): PendingLoan[] {
-  // Share is borrowed only by a VM that is short of tokens, so that chance
-  // peaks of demand do not move it.
+  // Only a VM that is short of tokens borrows share, so that random peaks of
+  // demand cause no share loans.
   const {rate, burst} = limitsAt(state.limits, now);
   if (context.waiting === 0 && state.tokens >= Math.min(2, burst / 4)) {
     return [];
   }
-  const held = (ratePpmOf(state) / WHOLE_PPM) * rate;
-  if (provenDemandAt(state.demand, now) <= held) return [];
+  const heldPerSecond = (ratePpmOf(state) / WHOLE_PPM) * rate;
+  if (provenDemandAt(state.demand, now) <= heldPerSecond) return [];
   const pending = state.pending.filter(item => item.request.kind === 'share');
-  const expected = pending.reduce((sum, item) => sum + item.request.ratePpm, 0);
-  const missing = neededPpm(state, now) - ratePpmOf(state) - expected;
-  const slots = PARALLEL_REQUESTS - pending.length;
-  const smallest = Math.floor(
-    (WHOLE_PPM / (context.peers.length + 1)) * SMALLEST_REQUEST,
+  const expectedPpm = pending.reduce(
+    (sum, item) => sum + item.request.ratePpm,
+    0,
+  );
+  const missingPpm = neededPpm(state, now) - ratePpmOf(state) - expectedPpm;
+  const slots = MAX_PARALLEL_REQUESTS - pending.length;
+  const minRequestPpm = Math.floor(
+    (WHOLE_PPM / (context.peers.length + 1)) * MIN_SHARE_REQUEST_FRACTION,
   );
-  if (missing < smallest || slots <= 0) return [];
+  if (missingPpm < minRequestPpm || slots <= 0) return [];
   const lenders = candidates(state, context, 'share', now).slice(0, slots);
   if (lenders.length === 0) return [];
-  const ratePpm = Math.max(smallest, Math.ceil(missing / lenders.length));
+  const ratePpm = Math.max(
+    minRequestPpm,
+    Math.ceil(missingPpm / lenders.length),
+  );
   return lenders.map(({peer}) =>
     request(context, peer, now, {kind: 'share', ratePpm}),
   );
 }
 
+/** Requests the tokens that the waiting statements lack. */
 function tokenRequests(
   state: TokenAccount,
   context: BorrowContext,
   now: number,
 ): PendingLoan[] {
   const pending = state.pending.filter(item => item.request.kind === 'tokens');
-  const asked = pending.reduce((sum, item) => sum + item.request.tokens, 0);
-  let short = context.waiting - state.tokens - asked;
-  let slots = PARALLEL_REQUESTS - pending.length;
+  const requestedTokens = pending.reduce(
+    (sum, item) => sum + item.request.tokens,
+    0,
+  );
+  let missingTokens = context.waiting - state.tokens - requestedTokens;
+  let slots = MAX_PARALLEL_REQUESTS - pending.length;
   const sent: PendingLoan[] = [];
   if (context.waiting === 0) return sent;
   for (const item of candidates(state, context, 'tokens', now)) {
-    if (slots-- <= 0 || short < SMALLEST_TOKENS) break;
-    // Tokens beyond the need would be lost at the end of the loan.
-    const tokens = Math.min(short, item.expected);
-    short -= tokens;
+    if (slots-- <= 0 || missingTokens < MIN_MISSING_TOKENS) break;
+    // Tokens that are not spent would be lost at the end of the loan.
+    const tokens = Math.min(missingTokens, item.expected);
+    missingTokens -= tokens;
     sent.push(request(context, item.peer, now, {kind: 'tokens', tokens}));
   }
   return sent;
 }
 
-/** The peers that may lend, with those of the most spare tokens first. */
+/** Returns the possible lenders, those with the most spare tokens first. */
 function candidates(
   state: TokenAccount,
   context: BorrowContext,
   kind: 'share' | 'tokens',
   now: number,
 ): ReadonlyArray<{readonly peer: string; readonly expected: number}> {
-  const asked = new Set(
+  const requestedLenders = new Set(
     state.pending
       .filter(item => item.request.kind === kind)
       .map(item => item.lender),
@@ -242,10 +257,10 @@
   };
   return (
     context.peers
-      .filter(peer => !asked.has(peer) && !declined(peer))
+      .filter(peer => !requestedLenders.has(peer) && !declined(peer))
       .map(peer => ({
         peer,
-        // A peer without a recent answer is taken to be refilled.
+        // A peer without a recent answer is assumed to be full.
         expected: expectedSpare(
           context.spare.get(peer),
           now,
@@ -255,12 +270,13 @@
         ),
         order: context.random.fraction(),
       }))
-      // A peer that was empty a moment ago is not asked again at once.
+      // A peer that was recently empty is skipped until it has refilled.
       .filter(item => kind === 'share' || item.expected >= SMALLEST_TOKEN_LOAN)
       .sort((a, b) => b.expected - a.expected || a.order - b.order)
   );
 }
 
+/** Estimates the tokens that a peer can lend by now. */
 function expectedSpare(
   spare: PeerSpare | undefined,
   now: number,
@@ -268,10 +284,10 @@
   burst: number,
   vmCount: number,
 ): number {
-  const full = Math.max(SMALLEST_TOKEN_LOAN, burst / vmCount);
-  if (!spare || now - spare.at > SPARE_VALID_MS) return full;
+  const fullSpare = Math.max(SMALLEST_TOKEN_LOAN, burst / vmCount);
+  if (!spare || now - spare.at > SPARE_VALIDITY_MS) return fullSpare;
   const refilled = ((now - spare.at) / 1_000) * (rate / vmCount);
-  return Math.min(full, spare.tokens + refilled);
+  return Math.min(fullSpare, spare.tokens + refilled);
 }
 
 function request(
--- a/packages/core/src/quota/decide_quota.ts
+++ b/packages/core/src/quota/decide_quota.ts
@@ -9,13 +9,13 @@
 import type {QuotaState, WorkspaceQuota} from './quota_state.js';
 import {accrue, capped, emptyAccount} from './token_account.js';
 
-/** The state after a message, and what the VM does next. */
+/** The state after a message, and the effects to carry out. */
 export interface QuotaDecision {
   readonly state: QuotaState;
   readonly effects: readonly QuotaEffect[];
 }
 
-/** Decides on one message about rates. */
+/** Applies one message to the quota state. */
 export function decideQuota(
   state: QuotaState,
   message: QuotaMessage,
@@ -28,28 +28,28 @@
     case 'loan-requested':
       return answerRequest(state, message.request, now);
     case 'loan-answered':
-      return takeAnswer(state, message, random, now);
+      return applyLoanAnswer(state, message, random, now);
     case 'limits':
-      return unchanged(applyLimits(state, message.limits, now));
+      return withoutEffects(applyLimits(state, message.limits, now));
     case 'share':
-      return unchanged(applyShare(state, message, now));
+      return withoutEffects(applyShare(state, message, now));
     case 'peers':
-      return unchanged({...state, peers: message.peers});
+      return withoutEffects({...state, peers: message.peers});
     case 'tick':
       return [...state.workspaces.keys()].reduce<QuotaDecision>(
         (decision, workspace) => {
-          const next = serve(decision.state, workspace, random, now);
+          const next = admitWaiters(decision.state, workspace, random, now);
           return {
             state: next.state,
             effects: [...decision.effects, ...next.effects],
           };
         },
-        unchanged(state),
+        withoutEffects(state),
       );
   }
 }
 
-function unchanged(state: QuotaState): QuotaDecision {
+function withoutEffects(state: QuotaState): QuotaDecision {
   return {state, effects: []};
 }
 
@@ -68,23 +68,26 @@
     account: {...account, demand: afterArrival(account.demand, now)},
     waiters: [...quota.waiters, {ticket, until}],
   });
-  return serve(queued, message.workspace, random, now);
+  return admitWaiters(queued, message.workspace, random, now);
 }
 
-/** Hands out tokens in the order of arrival, and asks peers for more. */
-function serve(
+/**
+ * Admits waiting statements in the order of arrival, refuses those past their
+ * deadline and requests loans for the others.
+ */
+function admitWaiters(
   state: QuotaState,
   workspace: string,
   random: Random,
   now: number,
 ): QuotaDecision {
   const quota = state.workspaces.get(workspace);
-  if (!quota) return unchanged(state);
+  if (!quota) return withoutEffects(state);
   const account = accrue(quota.account, now);
   const count = Math.min(Math.floor(account.tokens), quota.waiters.length);
   const admitted = quota.waiters.slice(0, count);
-  const left = quota.waiters.slice(count);
-  const waiters = left.filter(waiter => waiter.until > now);
+  const remaining = quota.waiters.slice(count);
+  const waiters = remaining.filter(waiter => waiter.until > now);
   let {requestCount} = state;
   const plan = planRequests(
     {...account, tokens: account.tokens - count},
@@ -108,7 +111,7 @@
     state: {...next, requestCount},
     effects: [
       ...admitted.map(({ticket}) => ({kind: 'admitted', ticket}) as const),
-      ...left
+      ...remaining
         .filter(waiter => waiter.until <= now)
         .map(({ticket}) => ({kind: 'refused', ticket}) as const),
       ...plan.sent.map(
@@ -156,7 +159,7 @@
   };
 }
 
-function takeAnswer(
+function applyLoanAnswer(
   state: QuotaState,
   message: Extract<QuotaMessage, {kind: 'loan-answered'}>,
   random: Random,
@@ -164,16 +167,16 @@
 ): QuotaDecision {
   const {workspace, requestId, lender, grant} = message;
   const quota = state.workspaces.get(workspace);
-  if (!quota) return unchanged(state);
+  if (!quota) return withoutEffects(state);
   const account = grant
     ? acceptGrant(quota.account, grant, now)
     : abandonRequest(quota.account, requestId);
-  const asked = quota.account.pending.find(
+  const pendingRequest = quota.account.pending.find(
     item => item.request.requestId === requestId,
   );
   const declinedShare =
-    asked?.request.kind === 'share' && !(grant && grant.ratePpm > 0);
-  // A peer that does not answer is not asked again at once.
+    pendingRequest?.request.kind === 'share' && !(grant && grant.ratePpm > 0);
+  // A peer that did not answer counts as empty, which delays the next request.
   const spare = new Map(quota.spare).set(lender, {
     tokens: grant?.spareTokens ?? 0,
     at: now,
@@ -182,7 +185,7 @@
       : (quota.spare.get(lender)?.declinedShareAt ?? -Infinity),
   });
   const next = withQuota(state, workspace, {...quota, account, spare});
-  return serve(next, workspace, random, now);
+  return admitWaiters(next, workspace, random, now);
 }
 
 function applyLimits(
@@ -192,7 +195,7 @@
 ): QuotaState {
   const next = new Map<string, WorkspaceQuota>();
   for (const [workspace, quota] of state.workspaces) {
-    // A removed workspace keeps its account, since peers may hold its loans.
+    // A removed workspace keeps its account, since peers may still use its loans.
     const changed = limits.get(workspace) ?? {rate: 0, burst: 0};
     const account = accrue(quota.account, now);
     next.set(workspace, {
--- a/packages/core/src/quota/demand_estimate.ts
+++ b/packages/core/src/quota/demand_estimate.ts
@@ -1,22 +1,22 @@
-/** An exponentially weighted estimate of arrivals. */
+/** An exponentially weighted estimate of the arrival rate. */
 export interface DemandEstimate {
   readonly perSecond: number;
   readonly at: number;
 }
 
 /**
- * Short enough to follow a workspace that moves to another VM, long enough
- * that single arrivals do not move share.
+ * Short enough to follow a workspace whose clients switch to another VM, long
+ * enough that single arrivals cause no share loans.
  */
 const DEMAND_TIME_CONSTANT_MS = 2_000;
 
-/** The estimate at a later time, without a further arrival. */
+/** Returns the estimate at a later time, without further arrivals. */
 export function demandAt(estimate: DemandEstimate, now: number): number {
   const elapsed = Math.max(0, now - estimate.at);
   return estimate.perSecond * Math.exp(-elapsed / DEMAND_TIME_CONSTANT_MS);
 }
 
-/** The estimate after one more arrival. */
+/** Returns the estimate after one more arrival. */
 export function afterArrival(
   estimate: DemandEstimate,
   now: number,
@@ -27,16 +27,17 @@
   };
 }
 
-/** With fewer arrivals in the time constant, chance may explain the estimate. */
-const MANY_ARRIVALS = 20;
+/** Fewer arrivals per time constant make the estimate too noisy to use as is. */
+const MIN_SIGNIFICANT_ARRIVALS = 20;
 
 /**
- * The demand that chance alone does not explain. With few arrivals in the time
- * constant the estimate varies by more than its own size.
+ * Returns the demand that is statistically significant. With few arrivals per
+ * time constant, the estimate fluctuates by more than its own size; two standard
+ * deviations are then subtracted.
  */
 export function provenDemandAt(estimate: DemandEstimate, now: number): number {
   const perSecond = demandAt(estimate, now);
   const seconds = DEMAND_TIME_CONSTANT_MS / 1_000;
-  if (perSecond * seconds >= MANY_ARRIVALS) return perSecond;
+  if (perSecond * seconds >= MIN_SIGNIFICANT_ARRIVALS) return perSecond;
   return perSecond - 2 * Math.sqrt(perSecond / seconds);
 }
--- a/packages/core/src/quota/ledger.ts
+++ b/packages/core/src/quota/ledger.ts
@@ -4,44 +4,49 @@
 import {majorityOf} from '../routing/group_view.js';
 import {WHOLE_PPM} from './quota_limits.js';
 
-/** Whether an entry's share is in use or is being taken back. */
+/** Whether an entry's share is usable or is being reclaimed. */
 export type LedgerEntryState = 'active' | 'reclaiming';
 
-/** The share of one incarnation of a VM. */
+/** The rate share of one incarnation of a VM. */
 export interface LedgerEntry extends PeerRecord {
   readonly sharePpm: number;
   readonly state: LedgerEntryState;
 }
 
-/** The content of the row `ledger/<environment>`. */
+/** The content of the store row `ledger/<environment>`. */
 export interface Ledger {
   readonly entries: readonly LedgerEntry[];
-  /** Identifies the write of this version, in case its answer is lost. */
+  /** Identifies the write of this version if its acknowledgement is lost. */
   readonly operationId?: string;
 }
 
-/** A VM keeps its share until another has less than this part of an even one. */
-const UNEVEN = 0.8;
+/**
+ * A VM gives up excess share only when another VM has less than this fraction
+ * of an even share.
+ */
+const MIN_EVEN_SHARE_FRACTION = 0.8;
 
+/** A ledger in which no VM holds a share. */
 export const EMPTY_LEDGER: Ledger = {entries: []};
 
-/** Reads the content of the row. */
+/** Parses the content of the ledger row. */
 export function parseLedger(value: string): Ledger {
   return JSON.parse(value) as Ledger;
 }
 
-/** The share that no entry holds. */
+/** Returns the share that no entry holds. */
 export function freePpm(ledger: Ledger): number {
   const held = ledger.entries.reduce((sum, entry) => sum + entry.sharePpm, 0);
   return Math.max(0, WHOLE_PPM - held);
 }
 
-/** The share of an incarnation; nothing while it is being taken back. */
+/** Returns the share of an incarnation, or 0 while it is being reclaimed. */
 export function shareOf(ledger: Ledger, instance: string): number {
   const entry = entryOf(ledger, instance);
   return entry?.state === 'active' ? entry.sharePpm : 0;
 }
 
+/** Returns the entry of an incarnation, if it has one. */
 export function entryOf(
   ledger: Ledger,
   instance: string,
@@ -49,7 +54,7 @@
   return ledger.entries.find(entry => entry.instance === instance);
 }
 
-/** Adds a VM with free share, at most an even one. */
+/** Adds an entry for a VM, with free share up to an even share. */
 export function joinLedger(ledger: Ledger, self: PeerRecord): Ledger {
   if (entryOf(ledger, self.instance)) return ledger;
   const even = evenPpm(ledger.entries.length + 1);
@@ -58,9 +63,9 @@
 }
 
 /**
- * Moves the VM's own share towards an even one: up by what is free, down when
- * another VM has far less. A VM that lowers its share stops using the excess
- * before it writes the row, and never goes below what it has lent.
+ * Adjusts the VM's own share towards an even share: up by the free share, down
+ * if another VM has far less. The share is never lowered below what the VM has
+ * lent out. The VM stops using the excess before it writes the row.
  */
 export function balanceShare(
   ledger: Ledger,
@@ -70,34 +75,36 @@
   const own = entryOf(ledger, instance);
   if (!own || own.state !== 'active') return ledger;
   const even = evenPpm(ledger.entries.length);
-  const wanted = ledger.entries.some(
-    entry => entry.state === 'active' && entry.sharePpm < even * UNEVEN,
+  const isShareNeeded = ledger.entries.some(
+    entry =>
+      entry.state === 'active' &&
+      entry.sharePpm < even * MIN_EVEN_SHARE_FRACTION,
   );
   const sharePpm =
     own.sharePpm < even
       ? Math.min(even, own.sharePpm + freePpm(ledger))
-      : wanted
+      : isShareNeeded
         ? Math.min(own.sharePpm, Math.max(even, lentPpm))
         : own.sharePpm;
   if (sharePpm === own.sharePpm) return ledger;
   return replaceEntry(ledger, {...own, sharePpm});
 }
 
-/** Returns the share of a VM that stops. Its loans must have ended. */
+/** Removes the entry of a VM that stops. Its loans must have ended. */
 export function leaveLedger(ledger: Ledger, instance: string): Ledger {
   return {
     entries: ledger.entries.filter(entry => entry.instance !== instance),
   };
 }
 
-/** States the intent to take back the share of a VM that is down. */
+/** Records the intent to reclaim the share of a VM that is down. */
 export function intendReclaim(ledger: Ledger, instance: string): Ledger {
   const entry = entryOf(ledger, instance);
   if (!entry || entry.state === 'reclaiming') return ledger;
   return replaceEntry(ledger, {...entry, state: 'reclaiming'});
 }
 
-/** The VMs whose majority acknowledges changes of a ledger version. */
+/** Returns the VMs whose majority acknowledges changes of a ledger version. */
 export function ledgerMembers(ledger: Ledger, version: number): LedgerMembers {
   return {
     version,
@@ -109,18 +116,20 @@
   };
 }
 
-/** How far this VM has come with taking back a share. */
+/** The progress of a reclaim that this VM carries out. */
 export interface ReclaimProgress {
+  /** The incarnation whose share is reclaimed. */
   readonly instance: string;
-  /** The first version in which this VM saw the intent, with its VMs. */
+  /** The first ledger version in which this VM read the intent, with its VMs. */
   readonly members: LedgerMembers;
-  /** When a majority had the version in force. */
+  /** The time at which a majority was found to have applied that version. */
   readonly majorityAt: number | undefined;
 }
 
 /**
- * Records which VMs have which ledger version in force. VMs may have joined
- * since the intent, so a majority is asked of the VMs before and after.
+ * Updates the progress with the ledger version that each VM has applied. VMs may
+ * have joined since the intent was written, so a majority is required both among
+ * the VMs of that version and among the present ones.
  */
 export function observeReclaim(
   progress: ReclaimProgress,
@@ -140,9 +149,9 @@
 }
 
 /**
- * Whether the share may be given to others. After this wait no VM that has not
- * heard of the intent counts as confirmed, and loans of the VM have ended too,
- * since they end before the lender's confirmation does.
+ * Whether the share may be given to other VMs. After this wait, no VM that has
+ * not received the intent is still confirmed. Loans of the VM have ended too,
+ * since a loan ends before the lender's confirmation does.
  */
 export function mayFinishReclaim(
   progress: ReclaimProgress,
@@ -152,15 +161,15 @@
   return majorityAt !== undefined && now - majorityAt >= RECLAIM_WAIT_MS;
 }
 
-/** Frees the share of an entry whose reclaim has completed. */
+/** Removes the entry whose reclaim has completed, which frees its share. */
 export function finishReclaim(ledger: Ledger, instance: string): Ledger {
   const entry = entryOf(ledger, instance);
   return entry?.state === 'reclaiming' ? leaveLedger(ledger, instance) : ledger;
 }
 
 /**
- * The former incarnations of a VM. A process that listens at the address
- * proves that they have ended, but their loans may still be in use.
+ * Returns the entries of earlier incarnations of a VM. They have ended, since
+ * the new process listens at their address, but their loans may still be in use.
  */
 export function predecessorsOf(
   ledger: Ledger,
@@ -174,7 +183,7 @@
   );
 }
 
-/** An even share of the whole. A remainder below one part is left unused. */
+/** Returns an even share. A remainder of less than 1 ppm per VM stays unused. */
 function evenPpm(count: number): number {
   return Math.floor(WHOLE_PPM / Math.max(1, count));
 }
--- a/packages/core/src/quota/lend.ts
+++ b/packages/core/src/quota/lend.ts
@@ -18,22 +18,31 @@
 } from './token_account.js';
 import type {TokenAccount} from './token_account.js';
 
-/** The part of its capacity that a lender never lends. */
-const FLOOR = 0.1;
+/** The fraction of its own share of the burst that a lender never lends. */
+const UNLENDABLE_BURST_FRACTION = 0.1;
 
-/** What demand needs above its estimate, as arrivals are irregular. */
+/** Share needed per unit of estimated demand, since arrivals are irregular. */
 export const DEMAND_HEADROOM = 1.15;
 
-/** Tokens are kept for the demand expected in this time. */
-const RESERVE_MS = 100;
+/** A lender keeps the tokens that its own demand needs within this time. */
+const DEMAND_RESERVE_MS = 100;
 
-/** A loan of a smaller part of its share does not pay for its messages. */
-const SMALLEST_LOAN = 0.1;
+/**
+ * The smallest share loan, as a fraction of the lender's own share. A smaller
+ * loan is not worth its messages.
+ */
+const MIN_SHARE_LOAN_FRACTION = 0.1;
 
-/** A loan of fewer tokens does not, unless the borrower needs no more. */
+/**
+ * The smallest token loan. Fewer tokens are not worth the messages unless the
+ * borrower needs no more than that.
+ */
 export const SMALLEST_TOKEN_LOAN = 0.2;
 
-/** Decides on a request. The lender's account is lowered before it answers. */
+/**
+ * Decides on a loan request. The returned account is already reduced by the
+ * loan and must be in effect before the grant is sent.
+ */
 export function lend(
   account: TokenAccount,
   request: LoanRequest,
@@ -41,7 +50,7 @@
   now: number,
 ): {readonly account: TokenAccount; readonly grant: LoanGrant} {
   const state = accrue(account, now);
-  // After a renewal the first request is known by the id of its loan only.
+  // After a renewal, the original request matches only by the id of the loan.
   const repeated = state.lent.find(
     ({grant}) =>
       grant.requestId === request.requestId ||
@@ -56,7 +65,7 @@
         : request.kind === 'share'
           ? shareLoan(state, request, now)
           : renewedLoan(state, request, waiting, now);
-  if (!loan) return {account: state, grant: nothing(state, request, now)};
+  if (!loan) return {account: state, grant: declinedGrant(state, request, now)};
   const lowered = capped({
     ...state,
     tokens: state.tokens - loan.grant.tokens,
@@ -76,13 +85,13 @@
   };
 }
 
-/** The tokens that the lender's own demand does not need soon. */
+/** Returns the tokens beyond the reserve for the VM's own demand. */
 export function spareTokensOf(account: TokenAccount, now: number): number {
-  const reserve = (demandAt(account.demand, now) * RESERVE_MS) / 1_000;
+  const reserve = (demandAt(account.demand, now) * DEMAND_RESERVE_MS) / 1_000;
   return Math.max(0, account.tokens - reserve);
 }
 
-/** The share of the rate that this VM's own demand needs. */
+/** Returns the share of the rate that this VM's own demand needs. */
 export function neededPpm(account: TokenAccount, now: number): number {
   const {rate} = limitsAt(account.limits, now);
   if (rate <= 0) return 0;
@@ -98,18 +107,18 @@
   const durationMs = Math.min(TOKEN_LOAN_MS, state.confirmedUntil - now);
   const releaseAt = now + durationMs * LENDER_MARGIN;
   const {burst} = limitsAt(state.limits, now);
-  // Capacity from a loan that ends before this one cannot be lent on.
-  const lasting = burstPpmOf({
+  // Burst borrowed through a loan that ends before this one cannot be lent.
+  const lastingBurstPpm = burstPpmOf({
     ...state,
     borrowed: state.borrowed.filter(loan => loan.expiresAt >= releaseAt),
   });
   const tokens = Math.min(
     request.tokens,
     spareTokensOf(state, now),
-    (lasting / WHOLE_PPM) * burst,
+    (lastingBurstPpm / WHOLE_PPM) * burst,
   );
-  const smallest = Math.min(request.tokens, SMALLEST_TOKEN_LOAN);
-  if (!(tokens >= smallest) || !(durationMs > 0)) return undefined;
+  const minTokens = Math.min(request.tokens, SMALLEST_TOKEN_LOAN);
+  if (!(tokens >= minTokens) || !(durationMs > 0)) return undefined;
   return {
     kind: 'tokens',
     borrower: request.borrower,
@@ -118,7 +127,10 @@
       requestId: request.requestId,
       loanId: request.requestId,
       ratePpm: 0,
-      burstPpm: Math.min(lasting, Math.ceil((tokens / burst) * WHOLE_PPM)),
+      burstPpm: Math.min(
+        lastingBurstPpm,
+        Math.ceil((tokens / burst) * WHOLE_PPM),
+      ),
       tokens,
       durationMs,
       spareTokens: 0,
@@ -132,22 +144,28 @@
   now: number,
 ): LentLoan | undefined {
   const durationMs = shareLoanMs(state, now);
-  const own = ownPpm(state);
+  const ownSharePpm = ownPpm(state);
   const ratePpm = Math.floor(
     Math.min(
       request.ratePpm,
-      own - lentRatePpm(state),
+      ownSharePpm - lentRatePpm(state),
       ratePpmOf(state) - neededPpm(state, now),
     ),
   );
-  if (ratePpm < Math.max(1, own * SMALLEST_LOAN) || !(durationMs > 0)) {
+  if (
+    ratePpm < Math.max(1, ownSharePpm * MIN_SHARE_LOAN_FRACTION) ||
+    !(durationMs > 0)
+  ) {
     return undefined;
   }
-  const lendableBurst = own - lentBurstPpm(state) - Math.ceil(own * FLOOR);
-  const burstPpm = Math.max(0, Math.min(ratePpm, lendableBurst));
+  const lendableBurstPpm =
+    ownSharePpm -
+    lentBurstPpm(state) -
+    Math.ceil(ownSharePpm * UNLENDABLE_BURST_FRACTION);
+  const burstPpm = Math.max(0, Math.min(ratePpm, lendableBurstPpm));
   const {burst} = limitsAt(state.limits, now);
-  const capacity = burstPpmOf(state);
-  const part = capacity > 0 ? burstPpm / capacity : 0;
+  const heldBurstPpm = burstPpmOf(state);
+  const lentFraction = heldBurstPpm > 0 ? burstPpm / heldBurstPpm : 0;
   return {
     kind: 'share',
     borrower: request.borrower,
@@ -157,7 +175,10 @@
       loanId: request.requestId,
       ratePpm,
       burstPpm,
-      tokens: Math.min(state.tokens * part, (burstPpm / WHOLE_PPM) * burst),
+      tokens: Math.min(
+        state.tokens * lentFraction,
+        (burstPpm / WHOLE_PPM) * burst,
+      ),
       durationMs,
       spareTokens: 0,
     },
@@ -165,8 +186,8 @@
 }
 
 /**
- * Prolongs a loan of share as a whole, unless the lender needs it. The earlier
- * end stays in force for a borrower that does not get the answer.
+ * Extends a share loan in full, unless the lender needs the share. A borrower
+ * that does not receive the answer keeps to the earlier end.
  */
 function renewedLoan(
   state: TokenAccount,
@@ -196,14 +217,16 @@
 }
 
 /**
- * A loan ends before the lender's confirmation does. Otherwise share that is
- * reclaimed from the lender could still be in use at the borrower.
+ * Returns the duration of a share loan. A loan ends before the lender's
+ * confirmation does; otherwise the borrower could still use share that has been
+ * reclaimed from the lender.
  */
 function shareLoanMs(state: TokenAccount, now: number): number {
   return Math.min(SHARE_LOAN_MS, state.confirmedUntil - now);
 }
 
-function nothing(
+/** Returns the answer that lends nothing and reports the spare tokens. */
+function declinedGrant(
   state: TokenAccount,
   request: LoanRequest,
   now: number,
--- a/packages/core/src/quota/limit_history.ts
+++ b/packages/core/src/quota/limit_history.ts
@@ -2,8 +2,8 @@
 import type {QuotaLimits} from './quota_limits.js';
 
 /**
- * The limits of a workspace with those that they replaced recently. Another VM
- * may apply the earlier limits for CONFIRM_LIMIT_MS.
+ * The limits of a workspace and those that they recently replaced. Other VMs
+ * may still enforce replaced limits for as long as a proof is valid.
  */
 export interface LimitHistory {
   readonly current: QuotaLimits;
@@ -13,7 +13,7 @@
   }>;
 }
 
-/** Records changed limits. Without a history they are in force at once. */
+/** Records a change of limits. The first limits take effect at once. */
 export function changeLimits(
   history: LimitHistory | undefined,
   limits: QuotaLimits,
@@ -33,7 +33,10 @@
   };
 }
 
-/** The limits in force: lower ones at once, higher ones after the limit. */
+/**
+ * Returns the effective limits. Lowered limits take effect at once, raised ones
+ * when no other VM can still enforce the limits that they replaced.
+ */
 export function limitsAt(history: LimitHistory, now: number): QuotaLimits {
   const recent = history.replaced
     .filter(item => isRecent(item.replacedAt, now))
--- a/packages/core/src/quota/loan.ts
+++ b/packages/core/src/quota/loan.ts
@@ -1,48 +1,48 @@
 /**
- * `share` lends accrual, capacity and tokens; `tokens` lends tokens that are
- * spent at once, with the capacity to hold them; `renewal` prolongs a loan of
- * share, so that no share lies idle between two loans.
+ * `share` lends a part of the rate and burst, with tokens. `tokens` lends tokens
+ * that are spent at once, with the burst needed to hold them. `renewal` extends
+ * a share loan, so that the share is not idle between two loans.
  */
 export type LoanKind = 'share' | 'tokens' | 'renewal';
 
-/** A borrower's request. Its id is unique across VMs and restarts. */
+/** A request for a loan. Its id is unique across VMs and restarts. */
 export interface LoanRequest {
   readonly requestId: string;
   /** The borrower's incarnation. */
   readonly borrower: string;
   readonly workspace: string;
   readonly kind: LoanKind;
-  /** The loan that a renewal prolongs. */
+  /** The loan that a renewal extends. */
   readonly loanId?: string;
-  /** The share wanted, for kind `share`. */
+  /** The requested share, for kind `share`. */
   readonly ratePpm: number;
-  /** The tokens wanted, for kind `tokens`. */
+  /** The requested number of tokens, for kind `tokens`. */
   readonly tokens: number;
 }
 
-/** A lender's answer. All amounts are 0 when it lends nothing. */
+/** A lender's answer. All lent amounts are 0 if it declines. */
 export interface LoanGrant {
   readonly requestId: string;
   readonly loanId: string;
   readonly ratePpm: number;
   readonly burstPpm: number;
   readonly tokens: number;
-  /** Counted by the borrower from the time at which it sent the request. */
+  /** Measured by the borrower from the time at which it sent the request. */
   readonly durationMs: number;
-  /** What the lender could still lend, to guide the next request. */
+  /** The tokens that the lender can still lend; guides later requests. */
   readonly spareTokens: number;
 }
 
-/** A loan on the lender's side. */
+/** A loan as recorded by the lender. */
 export interface LentLoan {
   readonly grant: LoanGrant;
   readonly borrower: string;
   readonly kind: 'share' | 'tokens';
-  /** When the lender counts the share as its own again. */
+  /** The time from which the lender uses the lent amounts again. */
   readonly releaseAt: number;
 }
 
-/** A loan on the borrower's side. */
+/** A loan as recorded by the borrower. */
 export interface BorrowedLoan {
   readonly loanId: string;
   readonly lender: string;
@@ -50,11 +50,11 @@
   readonly ratePpm: number;
   readonly burstPpm: number;
   readonly expiresAt: number;
-  /** Set when the lender declined to prolong the loan. */
+  /** Becomes `declined` when the lender refuses to extend the loan. */
   readonly renewal: 'possible' | 'declined';
 }
 
-/** A request without an answer so far. */
+/** A loan request that has not been answered. */
 export interface PendingLoan {
   readonly request: LoanRequest;
   readonly lender: string;
--- a/packages/core/src/quota/quota_limits.ts
+++ b/packages/core/src/quota/quota_limits.ts
@@ -1,25 +1,29 @@
-/** Shares are counted in parts per million, so that sums are exact. */
+/** A share of 100 %. Shares are integers in ppm, so that sums are exact. */
 export const WHOLE_PPM = 1_000_000;
 
-/** How long a statement may wait for a token. */
+/** The longest time for which a statement waits for a token. */
 export const ADMIT_WAIT_MS = 200;
 
-/** The duration of a loan of share. */
+/** The longest duration of a share loan. */
 export const SHARE_LOAN_MS = 3_000;
 
 /**
- * The duration of a loan of tokens, which statements that wait spend at once.
- * Meanwhile the lender has less capacity and loses what it accrues above it.
+ * The longest duration of a token loan. Waiting statements spend the tokens at
+ * once. Until the loan ends, the lender has a lower capacity and loses the
+ * tokens that it accrues above it.
  */
 export const TOKEN_LOAN_MS = 50;
 
-/** The lender waits longer than the borrower, as their clocks may drift. */
+/**
+ * The lender's wait as a multiple of the loan's duration. It exceeds 1 because
+ * the clocks of lender and borrower may drift apart.
+ */
 export const LENDER_MARGIN = 1.1;
 
-/** The rate and burst of one workspace, counted across all VMs. */
+/** The rate limit of one workspace, summed over all VMs. */
 export interface QuotaLimits {
-  /** Tokens a second. */
+  /** Tokens per second. */
   readonly rate: number;
-  /** The largest number of tokens. */
+  /** The maximum number of tokens held at a time. */
   readonly burst: number;
 }
--- a/packages/core/src/quota/quota_message.ts
+++ b/packages/core/src/quota/quota_message.ts
@@ -1,18 +1,20 @@
 import type {LoanGrant, LoanRequest} from './loan.js';
 import type {QuotaLimits} from './quota_limits.js';
 
-/** What happens to a VM's quota. */
+/** An input of the quota decision logic of one VM. */
 export type QuotaMessage =
-  /** A statement asks for one token and waits for it until `until`. */
+  /** A statement requests one token and waits for it up to a deadline. */
   | {
       readonly kind: 'admit';
       readonly workspace: string;
+      /** Identifies the statement in the effects that answer it. */
       readonly ticket: number;
+      /** The time at which the statement is refused without a token. */
       readonly until: number;
     }
-  /** A peer asks for a loan. */
+  /** A peer requests a loan. */
   | {readonly kind: 'loan-requested'; readonly request: LoanRequest}
-  /** A peer answered; no grant means that the answer is lost. */
+  /** A loan request ended. The grant is undefined if no answer arrived. */
   | {
       readonly kind: 'loan-answered';
       readonly workspace: string;
@@ -20,22 +22,23 @@
       readonly lender: string;
       readonly grant: LoanGrant | undefined;
     }
-  /** The limits of an applied configuration. */
+  /** A configuration was applied; carries its limits by workspace. */
   | {
       readonly kind: 'limits';
       readonly limits: ReadonlyMap<string, QuotaLimits>;
     }
-  /** The ledger share, which may be used until `confirmedUntil`. */
+  /** The share in the ledger, which is usable until `confirmedUntil`. */
   | {
       readonly kind: 'share';
       readonly sharePpm: number;
       readonly confirmedUntil: number;
     }
-  /** The incarnations of the other VMs that can be reached. */
+  /** The incarnations of the reachable peers. */
   | {readonly kind: 'peers'; readonly peers: readonly string[]}
+  /** Time has passed: tokens accrue and waiting statements time out. */
   | {readonly kind: 'tick'};
 
-/** What the VM does next. */
+/** An action that the caller carries out after a quota decision. */
 export type QuotaEffect =
   | {readonly kind: 'admitted'; readonly ticket: number}
   | {readonly kind: 'refused'; readonly ticket: number}
--- a/packages/core/src/quota/quota_state.ts
+++ b/packages/core/src/quota/quota_state.ts
@@ -4,14 +4,18 @@
 
 /** A statement that waits for a token. */
 export interface QuotaWaiter {
+  /** Identifies the statement in the effects that answer it. */
   readonly ticket: number;
+  /** The time at which the statement is refused without a token. */
   readonly until: number;
 }
 
-/** A workspace's account on one VM, with what waits for its tokens. */
+/** The quota of one workspace on one VM. */
 export interface WorkspaceQuota {
   readonly account: TokenAccount;
+  /** Statements that wait for a token, in the order of arrival. */
   readonly waiters: readonly QuotaWaiter[];
+  /** What peers last reported that they can lend, by incarnation. */
   readonly spare: ReadonlyMap<string, PeerSpare>;
 }
 
@@ -19,15 +23,18 @@
 export interface QuotaState {
   /** The VM's incarnation. */
   readonly self: string;
+  /** The incarnations of the reachable peers. */
   readonly peers: readonly string[];
+  /** This VM's share in the ledger. */
   readonly sharePpm: number;
+  /** The time until which the ledger share is usable. */
   readonly confirmedUntil: number;
   readonly workspaces: ReadonlyMap<string, WorkspaceQuota>;
-  /** The number of request ids used so far. */
+  /** The number of request ids that this incarnation has generated. */
   readonly requestCount: number;
 }
 
-/** The state of a VM that has just started. */
+/** Returns the state of a VM that has just started. */
 export function newQuotaState(self: string): QuotaState {
   return {
     self,
@@ -39,7 +46,7 @@
   };
 }
 
-/** The largest share that is lent of any workspace. */
+/** Returns the largest share, over all workspaces, that is lent out. */
 export function lentPpmOf(state: QuotaState, now: number): number {
   const lent = [...state.workspaces.values()].map(quota => {
     const account = accrue(quota.account, now);
--- a/packages/core/src/quota/token_account.ts
+++ b/packages/core/src/quota/token_account.ts
@@ -5,23 +5,27 @@
 import type {BorrowedLoan, LentLoan, PendingLoan} from './loan.js';
 import {WHOLE_PPM} from './quota_limits.js';
 
-/** One VM's tokens of one workspace, with the loans that change its share. */
+/**
+ * One VM's tokens for one workspace, with the loans that raise or lower its
+ * share.
+ */
 export interface TokenAccount {
   readonly limits: LimitHistory;
   /** This VM's share in the ledger. */
   readonly sharePpm: number;
-  /** Until when the ledger share may be used without a further proof. */
+  /** The time until which the ledger share is usable without a new proof. */
   readonly confirmedUntil: number;
   readonly tokens: number;
-  /** The time up to which tokens were accrued. */
+  /** The time up to which tokens have accrued. */
   readonly at: number;
   readonly lent: readonly LentLoan[];
   readonly borrowed: readonly BorrowedLoan[];
+  /** Loan requests that have not been answered. */
   readonly pending: readonly PendingLoan[];
   readonly demand: DemandEstimate;
 }
 
-/** An account without share and tokens, as every VM starts. */
+/** Returns the initial account of a VM, without share or tokens. */
 export function emptyAccount(limits: LimitHistory, now: number): TokenAccount {
   return {
     limits,
@@ -36,47 +40,53 @@
   };
 }
 
-/** The share of the accrual at the account's time. */
+/** Returns the share of the rate at the account's time, with all loans. */
 export function ratePpmOf(account: TokenAccount): number {
   return Math.max(
     0,
-    ownPpm(account) - lentRatePpm(account) + sum(account.borrowed, 'ratePpm'),
+    ownPpm(account) -
+      lentRatePpm(account) +
+      sumBorrowed(account.borrowed, 'ratePpm'),
   );
 }
 
-/** The share of the capacity at the account's time. */
+/** Returns the share of the burst at the account's time, with all loans. */
 export function burstPpmOf(account: TokenAccount): number {
   return Math.max(
     0,
-    ownPpm(account) - lentBurstPpm(account) + sum(account.borrowed, 'burstPpm'),
+    ownPpm(account) -
+      lentBurstPpm(account) +
+      sumBorrowed(account.borrowed, 'burstPpm'),
   );
 }
 
-/** The ledger share, or 0 while it is unconfirmed. */
+/** Returns the ledger share, or 0 while the VM is unconfirmed. */
 export function ownPpm(account: TokenAccount): number {
   return account.at < account.confirmedUntil ? account.sharePpm : 0;
 }
 
+/** Returns the share of the rate that is lent to other VMs. */
 export function lentRatePpm(account: TokenAccount): number {
   return account.lent.reduce((total, loan) => total + loan.grant.ratePpm, 0);
 }
 
+/** Returns the share of the burst that is lent to other VMs. */
 export function lentBurstPpm(account: TokenAccount): number {
   return account.lent.reduce((total, loan) => total + loan.grant.burstPpm, 0);
 }
 
 /**
- * Accrues tokens up to `now`. Each loan counts up to its own end and not up to
- * the time of the call, since the VM may have been paused in between.
+ * Accrues tokens up to `now`. Each loan counts only up to its own end, which may
+ * lie before the time of the call if the VM was paused.
  */
 export function accrue(account: TokenAccount, now: number): TokenAccount {
   let state = account;
   while (state.at < now) {
-    const until = nextChange(state, now);
+    const until = nextChangeAt(state, now);
     const {rate} = limitsAt(state.limits, state.at);
     const seconds = (until - state.at) / 1_000;
     const gained = (ratePpmOf(state) / WHOLE_PPM) * rate * seconds;
-    // The capacity before the change bounds what was accrued up to it.
+    // Tokens accrued before a change are bounded by the capacity before it.
     state = capped({...state, tokens: state.tokens + gained});
     state = capped({
       ...state,
@@ -88,7 +98,7 @@
   return state;
 }
 
-/** Lowers the tokens to the capacity. */
+/** Discards tokens above the account's present capacity. */
 export function capped(account: TokenAccount): TokenAccount {
   const {burst} = limitsAt(account.limits, account.at);
   const capacity = (burstPpmOf(account) / WHOLE_PPM) * burst;
@@ -96,7 +106,8 @@
   return {...account, tokens: capacity};
 }
 
-function nextChange(account: TokenAccount, now: number): number {
+/** Returns when the rate or capacity changes next, at most `now`. */
+function nextChangeAt(account: TokenAccount, now: number): number {
   let next = now;
   const consider = (time: number): void => {
     if (time > account.at && time < next) next = time;
@@ -110,7 +121,7 @@
   return next;
 }
 
-function sum(
+function sumBorrowed(
   loans: readonly BorrowedLoan[],
   key: 'ratePpm' | 'burstPpm',
 ): number {
--- a/packages/core/src/quota/transfer/__tests__/share_table.test.ts
+++ b/packages/core/src/quota/transfer/__tests__/share_table.test.ts
@@ -18,11 +18,11 @@
 }
 
 describe('nextShares', () => {
-  // Guards against a share that is given away while its VM may still spend it.
-  it('follows a VM that is lost, waits, and spreads its share', () => {
+  // Guards against reassigning a share that its VM may still spend.
+  it('revokes the share of a lost VM and redistributes it after a wait', () => {
     const first = initialShares(['a', 'b', 'c', 'd']);
     const lost = step(first, ['a', 'b', 'c'], ['d'], 1_000);
-    // The revocation may have been written later than it says.
+    // The revocation may have been written later than its timestamp.
     const sure = step(lost, ['a', 'b', 'c'], ['d'], 3_000);
     const waiting = step(sure, ['a', 'b', 'c'], ['d'], 12_900);
     const spread = step(waiting, ['a', 'b', 'c', 'e'], ['d'], 13_000);
@@ -32,8 +32,8 @@
     expect(homeShare(lost, homesOf(lost, 'co-op'), 'd')).toBe(0);
   });
 
-  // Guards against shares that add up to more than the whole.
-  it('never exceeds the whole (seeds 1 to 200)', () => {
+  // Guards against shares that sum to more than 100 %.
+  it('never assigns more than 100 % (seeds 1 to 200)', () => {
     for (let seed = 1; seed <= 200; seed++) {
       const random = new Random(seed);
       const names = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
--- a/packages/core/src/quota/transfer/__tests__/workspace_homes.test.ts
+++ b/packages/core/src/quota/transfer/__tests__/workspace_homes.test.ts
@@ -9,14 +9,14 @@
 }
 
 function sharesOf(table: ShareTable, workspace: string): readonly number[] {
-  const homes = homesOf(table, workspace);
-  return Object.keys(table).map(vm => homeShare(table, homes, vm));
+  const holders = homesOf(table, workspace);
+  return Object.keys(table).map(vm => homeShare(table, holders, vm));
 }
 
 describe('homesOf', () => {
-  // Guards against a rate that is given out more than once, and against one
-  // that is split below a token in a large fleet.
-  it.each([1, 8, 12, 13, 70, 440])('splits a rate among %i VMs', size => {
+  // Guards against assigning a rate more than once, and against shares of less
+  // than one token in a large fleet.
+  it.each([1, 8, 12, 13, 70, 440])('splits a rate across %i VMs', size => {
     const shares = sharesOf(fleet(size), 'co-op');
     const sum = shares.reduce((all, ppm) => all + ppm, 0);
     expect(sum).toBeLessThanOrEqual(WHOLE_PPM);
@@ -24,25 +24,25 @@
     expect(shares.filter(ppm => ppm > 0).length).toBeLessThanOrEqual(12);
   });
 
-  // Guards against a place that is taken while its VM may still spend, and
-  // against a lost VM that spends on.
-  it('keeps the place of a lost VM until its share is given away', () => {
+  // Guards against replacing a rate holder that may still spend its share, and
+  // against a lost VM that goes on spending.
+  it('keeps a lost VM as rate holder until its share is distributed', () => {
     const table = fleet(70);
     const [lost = ''] = homesOf(table, 'co-op');
     const ppm = table[lost]?.ppm ?? 0;
     const revoked = {...table, [lost]: {ppm, revokedAt: 1}};
     expect(homesOf(revoked, 'co-op')).toEqual(homesOf(table, 'co-op'));
     expect(homeShare(revoked, homesOf(revoked, 'co-op'), lost)).toBe(0);
-    const given = Object.fromEntries(
+    const distributed = Object.fromEntries(
       Object.entries(revoked).filter(([vm]) => vm !== lost),
     );
     const kept = homesOf(table, 'co-op').filter(vm => vm !== lost);
-    expect(homesOf(given, 'co-op')).toEqual(expect.arrayContaining(kept));
+    expect(homesOf(distributed, 'co-op')).toEqual(expect.arrayContaining(kept));
   });
 
   // Guards against an entry without a share, such as that of a VM that was lost
-  // before it got one, which would move the places of others.
-  it('counts VMs with a share only', () => {
+  // before it got one, that changes the choice of the other rate holders.
+  it('chooses only VMs with a share', () => {
     const table = fleet(70);
     const more = {...table, late: {ppm: 0, revokedAt: 5}};
     expect(homesOf(more, 'co-op')).toEqual(homesOf(table, 'co-op'));
--- a/packages/core/src/quota/transfer/decide_transfer.ts
+++ b/packages/core/src/quota/transfer/decide_transfer.ts
@@ -3,52 +3,55 @@
 import type {QuotaLimits} from '../quota_limits.js';
 import type {TokenBucket} from './token_bucket.js';
 
-/** A VM asks for more when its tokens last less than this. */
-const LOW_WATER_MS = 250;
-/** It asks for what this time needs. */
-const TARGET_MS = 600;
-/** Parts of a token below this are not worth a message. */
-const LEAST_GIFT = 0.05;
-const MIN_ASKED_PEERS = 2;
-const MAX_ASKED_PEERS = 8;
-/** A VM keeps what its own demand needs for this long. */
-const RESERVE_MS = 400;
+/** A VM requests tokens when its own cover its demand for less than this. */
+const LOW_WATERMARK_MS = 250;
+/** A request covers the demand of this time. */
+const REFILL_TARGET_MS = 600;
+/** A smaller transfer is not worth a message. */
+const MIN_TRANSFER_TOKENS = 0.05;
+const MIN_REQUESTED_PEERS = 2;
+const MAX_REQUESTED_PEERS = 8;
+/** A donor keeps the tokens that its own demand needs within this time. */
+const DEMAND_RESERVE_MS = 400;
 
-/** How many tokens a VM should ask its peers for now. */
+/** Returns the number of tokens that a VM should request from its peers. */
 export function tokensToAsk(
   bucket: TokenBucket,
   waiting: number,
   now: number,
 ): number {
-  const perMs = demandAt(bucket, now) / 1_000;
-  const low = perMs * LOW_WATER_MS + waiting;
-  if (bucket.tokens >= low) return 0;
-  return perMs * TARGET_MS + waiting - bucket.tokens;
+  const demandPerMs = demandAt(bucket, now) / 1_000;
+  const lowWatermark = demandPerMs * LOW_WATERMARK_MS + waiting;
+  if (bucket.tokens >= lowWatermark) return 0;
+  return demandPerMs * REFILL_TARGET_MS + waiting - bucket.tokens;
 }
 
-/** How many tokens a VM can give away of those that are asked for. */
+/** Returns how many of the requested tokens a donor can transfer. */
 export function tokensToGive(
   bucket: TokenBucket,
-  asked: number,
+  requested: number,
   now: number,
 ): number {
-  // Less than a token admits nothing here, so it need not be kept.
+  // Less than one token admits no statement here, so none is kept back.
   const reserve =
-    bucket.tokens < 1 ? 0 : (demandAt(bucket, now) / 1_000) * RESERVE_MS;
-  const given = Math.min(asked, bucket.tokens - reserve);
-  return given >= LEAST_GIFT ? given : 0;
+    bucket.tokens < 1 ? 0 : (demandAt(bucket, now) / 1_000) * DEMAND_RESERVE_MS;
+  const transferred = Math.min(requested, bucket.tokens - reserve);
+  return transferred >= MIN_TRANSFER_TOKENS ? transferred : 0;
 }
 
 /**
- * How many peers are asked at a time. A small workspace has less than a token
- * on each VM, so one is put together from the parts of many.
+ * Returns the number of peers to send a request to. Each VM holds less than one
+ * token of a small workspace, so a token is combined from fractions of several.
  */
 export function peersToAsk(
   limit: QuotaLimits,
   sharePpm: number,
-  asked: number,
+  requested: number,
 ): number {
-  const held = (limit.burst * sharePpm) / WHOLE_PPM;
-  const needed = Math.ceil((2 * asked) / Math.max(held, 0.01));
-  return Math.min(MAX_ASKED_PEERS, Math.max(MIN_ASKED_PEERS, needed));
+  const heldPerPeer = (limit.burst * sharePpm) / WHOLE_PPM;
+  const neededPeers = Math.ceil((2 * requested) / Math.max(heldPerPeer, 0.01));
+  return Math.min(
+    MAX_REQUESTED_PEERS,
+    Math.max(MIN_REQUESTED_PEERS, neededPeers),
+  );
 }
--- a/packages/core/src/quota/transfer/share_table.ts
+++ b/packages/core/src/quota/transfer/share_table.ts
@@ -1,62 +1,62 @@
 import {WHOLE_PPM} from '../quota_limits.js';
 
-/** One VM's part of every rate. */
+/** One VM's share of the rates of all workspaces. */
 export interface ShareEntry {
   readonly ppm: number;
   /**
    * Store time at which the share was revoked because its VM was lost. The VM
-   * may still spend it until its knowledge of the store has expired.
+   * may still spend it until its last proof of being current has expired.
    */
   readonly revokedAt?: number;
   /**
-   * Store time by which the revocation was certainly written. From then on the
-   * VM learns of it with its next proof.
+   * Store time by which the revocation was certainly written. Any later proof of
+   * the VM includes the revocation.
    */
   readonly lostBy?: number;
 }
 
-/** The shares of all VMs; their sum is at most the whole. */
+/** The shares of all VMs by name. Their sum is at most 100 %. */
 export type ShareTable = Readonly<Record<string, ShareEntry>>;
 
-/** Splits the whole equally among the VMs that are there at the first start. */
+/** Splits all rates evenly among the VMs present at the first start. */
 export function initialShares(vms: readonly string[]): ShareTable {
   const ppm = Math.floor(WHOLE_PPM / Math.max(1, vms.length));
   return Object.fromEntries([...vms].sort().map(vm => [vm, {ppm}]));
 }
 
-/** Whether the table still shows a revocation of which nobody can be sure. */
+/** Whether a revocation has no confirmed write time. */
 export function hasUnsureRevocation(table: ShareTable): boolean {
   return Object.values(table).some(
     entry => entry.revokedAt !== undefined && entry.lostBy === undefined,
   );
 }
 
-/** Whether a VM was declared lost and has not come back since. */
+/** Whether a VM was declared lost and has not returned. */
 export function isRevoked(table: ShareTable, vm: string): boolean {
   return table[vm]?.revokedAt !== undefined;
 }
 
-/** Who is there and who is not, as one VM found. */
+/** Which VMs are present and which are lost, as observed by one VM. */
 export interface ShareSituation {
   readonly present: readonly string[];
   readonly lost: readonly string[];
-  /** The latest that the store's clock can show now. */
+  /** The upper bound of the present store time. */
   readonly at: number;
-  /** Whether no VM can act on what it knew before a revocation any more. */
+  /** Whether every proof from before a revocation has expired. */
   readonly isExpired: (lostBy: number) => boolean;
 }
 
 /**
- * Returns the table after its next change, or undefined when it stays. A lost
- * VM's share is revoked first, and goes to the others once its VM cannot spend
- * it any more. A VM that came back gets its revoked share again.
+ * Returns the table after its next change, or undefined if nothing changes. The
+ * share of a lost VM is revoked first, and distributed to the others once the
+ * lost VM can no longer spend it. A VM that returns regains its revoked share.
  */
 export function nextShares(
   table: ShareTable,
   situation: ShareSituation,
 ): ShareTable | undefined {
   const kept = Object.entries(table).flatMap(([vm, entry]) =>
-    keepEntry(vm, entry, situation),
+    nextEntries(vm, entry, situation),
   );
   const next = new Map(kept);
   for (const vm of situation.lost) {
@@ -64,12 +64,13 @@
       next.set(vm, {ppm: 0, revokedAt: situation.at});
     }
   }
-  spreadFree(next, situation.present);
+  distributeFreeShare(next, situation.present);
   const result: ShareTable = Object.fromEntries(next);
-  return sameTable(table, result) ? undefined : result;
+  return areTablesEqual(table, result) ? undefined : result;
 }
 
-function keepEntry(
+/** Returns the next state of an entry; none if its share is free. */
+function nextEntries(
   vm: string,
   entry: ShareEntry,
   {present, lost, at, isExpired}: ShareSituation,
@@ -82,24 +83,29 @@
   return isExpired(entry.lostBy) ? [] : [[vm, entry]];
 }
 
-/** Gives what nobody holds to the VMs without a share, or else to all. */
-function spreadFree(
+/**
+ * Distributes the free share among the VMs without a share, or among all if each
+ * has one. An amount below a quarter of an even share is kept back.
+ */
+function distributeFreeShare(
   next: Map<string, ShareEntry>,
   present: readonly string[],
 ): void {
   const held = [...next.values()].reduce((sum, entry) => sum + entry.ppm, 0);
   const free = WHOLE_PPM - held;
-  const least = Math.floor(WHOLE_PPM / Math.max(1, present.length) / 4);
-  if (present.length === 0 || free < least) return;
-  const poor = present.filter(vm => (next.get(vm)?.ppm ?? 0) === 0);
-  const takers = poor.length > 0 ? poor : present;
-  const each = Math.floor(free / takers.length);
-  for (const vm of takers) {
-    next.set(vm, {ppm: (next.get(vm)?.ppm ?? 0) + each});
+  const minDistributedPpm = Math.floor(
+    WHOLE_PPM / Math.max(1, present.length) / 4,
+  );
+  if (present.length === 0 || free < minDistributedPpm) return;
+  const withoutShare = present.filter(vm => (next.get(vm)?.ppm ?? 0) === 0);
+  const recipients = withoutShare.length > 0 ? withoutShare : present;
+  const ppmPerRecipient = Math.floor(free / recipients.length);
+  for (const vm of recipients) {
+    next.set(vm, {ppm: (next.get(vm)?.ppm ?? 0) + ppmPerRecipient});
   }
 }
 
-function sameTable(a: ShareTable, b: ShareTable): boolean {
+function areTablesEqual(a: ShareTable, b: ShareTable): boolean {
   const names = Object.keys(a);
   return (
     names.length === Object.keys(b).length &&
--- a/packages/core/src/quota/transfer/token_bucket.ts
+++ b/packages/core/src/quota/transfer/token_bucket.ts
@@ -2,26 +2,29 @@
 import type {QuotaLimits} from '../quota_limits.js';
 
 /**
- * One VM's tokens of one workspace. Tokens accrue from the VM's share of the
- * rate and move between VMs, so their sum over all VMs never exceeds what the
- * whole rate and burst give.
+ * One VM's tokens for one workspace. Tokens accrue from the VM's share of the
+ * rate and are transferred between VMs, so their sum over all VMs never exceeds
+ * the workspace's rate and burst.
  */
 export interface TokenBucket {
   readonly tokens: number;
+  /** The time up to which tokens have accrued. */
   readonly at: number;
-  /** Tokens spent per second, as an average over the last seconds. */
+  /** The exponentially weighted average of tokens requested per second. */
   readonly demandPerSecond: number;
+  /** The time of the demand estimate. */
   readonly demandAt: number;
 }
 
 /** The time constant of the demand average. */
-const DEMAND_WINDOW_MS = 2_000;
+const DEMAND_TIME_CONSTANT_MS = 2_000;
 
+/** Returns a bucket without tokens or demand. */
 export function emptyBucket(now: number): TokenBucket {
   return {tokens: 0, at: now, demandPerSecond: 0, demandAt: now};
 }
 
-/** Adds what the share accrued up to `now`, capped at the share's burst. */
+/** Adds the tokens accrued up to `now`, up to the share's burst. */
 export function accrueTokens(
   bucket: TokenBucket,
   limit: QuotaLimits,
@@ -31,7 +34,7 @@
   const share = sharePpm / WHOLE_PPM;
   const elapsed = Math.max(0, now - bucket.at) / 1_000;
   const capacity = limit.burst * share;
-  // Tokens received from other VMs may exceed the share's own capacity.
+  // Received tokens may exceed the share's capacity; they are kept.
   const gained = Math.max(
     0,
     Math.min(limit.rate * share * elapsed, capacity - bucket.tokens),
@@ -43,17 +46,17 @@
   };
 }
 
-/** Records that an operation asked for a token. */
+/** Records a request for one token in the demand estimate. */
 export function noteDemand(bucket: TokenBucket, now: number): TokenBucket {
   return {
     ...bucket,
-    demandPerSecond: demandAt(bucket, now) + 1_000 / DEMAND_WINDOW_MS,
+    demandPerSecond: demandAt(bucket, now) + 1_000 / DEMAND_TIME_CONSTANT_MS,
     demandAt: now,
   };
 }
 
-/** The present demand; it decays while nothing is asked for. */
+/** Returns the demand at `now`. It decays while no tokens are requested. */
 export function demandAt(bucket: TokenBucket, now: number): number {
   const age = Math.max(0, now - bucket.demandAt);
-  return bucket.demandPerSecond * Math.exp(-age / DEMAND_WINDOW_MS);
+  return bucket.demandPerSecond * Math.exp(-age / DEMAND_TIME_CONSTANT_MS);
 }
--- a/packages/core/src/quota/transfer/workspace_homes.ts
+++ b/packages/core/src/quota/transfer/workspace_homes.ts
@@ -4,10 +4,11 @@
 import type {ShareTable} from './share_table.js';
 
 /**
- * The VMs that accrue a workspace's tokens. In a large fleet a part for each
- * VM would be less than a token, and one token the sum of many messages; there
- * a few VMs, chosen by the workspace's name, hold the rate. A VM that is lost
- * keeps its place until its share is given away.
+ * Returns the rate holders of a workspace: the VMs that accrue its tokens. In a
+ * large fleet, an even split would leave each VM less than one token, and each
+ * token would have to be collected with many messages. There, a few VMs chosen
+ * by the workspace's name hold the rate. A lost VM remains a rate holder until
+ * its share is distributed.
  */
 export function homesOf(
   table: ShareTable,
@@ -17,15 +18,16 @@
   return representativesOf(workspace, vms);
 }
 
-/** The part of a workspace's rate that one of its homes may spend. */
+/** Returns the share of a workspace's rate that a VM may spend. */
 export function homeShare(
   table: ShareTable,
-  homes: readonly string[],
+  holders: readonly string[],
   vm: string,
 ): number {
-  if (!homes.includes(vm) || isRevoked(table, vm)) return 0;
+  if (!holders.includes(vm) || isRevoked(table, vm)) return 0;
   const isWholeFleet =
-    homes.length === Object.values(table).filter(entry => entry.ppm > 0).length;
+    holders.length ===
+    Object.values(table).filter(entry => entry.ppm > 0).length;
   if (isWholeFleet) return table[vm]?.ppm ?? 0;
-  return Math.floor(WHOLE_PPM / homes.length);
+  return Math.floor(WHOLE_PPM / holders.length);
 }
