--- a/packages/core/src/admission/__tests__/queue_policy.test.ts
+++ b/packages/core/src/admission/__tests__/queue_policy.test.ts
@@ -11,19 +11,22 @@
 describe('QueuePolicy', () => {
   // Guards against a workspace that waits behind all statements of another,
   // and against entries that are lost or served after their deadline.
-  it.each(POLICIES)('%s', (unusedName, create) => {
-    const queue = create();
-    const arrivals = ['a', 'a', 'a', 'a', 'a', 'a', 'b', 'c', 'b', 'c'];
-    const outcomes = arrivals.map((workspace, item) =>
-      queue.enqueue({workspace, until: item === 2 ? 5 : 100, item}),
-    );
-    const ahead = ['a', 'b', 'd'].map(name => queue.entriesAhead(name));
-    const expired = queue.removeExpired(10).map(entry => entry.item);
-    const served = [];
-    for (let next; (next = queue.dequeue());) {
-      served.push(`${next.workspace}${next.item}`);
-    }
-    const left = queue.size;
-    expect({outcomes, ahead, expired, served, left}).toMatchSnapshot();
-  });
+  it.each(POLICIES)(
+    '%s serves entries in its order and removes expired ones',
+    (unusedName, create) => {
+      const queue = create();
+      const arrivals = ['a', 'a', 'a', 'a', 'a', 'a', 'b', 'c', 'b', 'c'];
+      const outcomes = arrivals.map((workspace, item) =>
+        queue.enqueue({workspace, until: item === 2 ? 5 : 100, item}),
+      );
+      const ahead = ['a', 'b', 'd'].map(name => queue.entriesAhead(name));
+      const expired = queue.removeExpired(10).map(entry => entry.item);
+      const served = [];
+      for (let next; (next = queue.dequeue());) {
+        served.push(`${next.workspace}${next.item}`);
+      }
+      const left = queue.size;
+      expect({outcomes, ahead, expired, served, left}).toMatchSnapshot();
+    },
+  );
 });
--- a/packages/core/src/admission/expected_wait.ts
+++ b/packages/core/src/admission/expected_wait.ts
@@ -1,13 +1,13 @@
-/** How statements of one connection pool have been served so far. */
+/** An estimate of the service time in one connection pool. */
 export interface ServiceEstimate {
-  /** The mean time for which a connection is held, or 0 if unknown. */
+  /** The mean time for which a statement holds a connection; 0 if unknown. */
   readonly meanMs: number;
 }
 
-/** The weight of the last statement in the mean. */
+/** The weight of the latest statement in the moving average. */
 const LATEST_SAMPLE_WEIGHT = 0.05;
 
-/** The estimate after one more statement. */
+/** Returns the estimate after one more statement. */
 export function afterService(
   estimate: ServiceEstimate,
   heldMs: number,
@@ -18,8 +18,9 @@
 }
 
 /**
- * The expected wait behind `ahead` statements. All places are in use, and on
- * average one becomes free each mean service time divided by their number.
+ * Returns the expected wait behind `ahead` statements. Assumes that all
+ * connections are in use, so that one becomes free, on average, per mean service
+ * time divided by their number.
  */
 export function expectedWaitMs(
   estimate: ServiceEstimate,
--- a/packages/core/src/admission/fifo_policy.ts
+++ b/packages/core/src/admission/fifo_policy.ts
@@ -1,10 +1,11 @@
 import {QueuePolicy} from './queue_policy.js';
 import type {EnqueueOutcome, QueueEntry} from './queue_policy.js';
 
-/** Serves in the order of arrival. The baseline for fairness measurements. */
+/** Serves statements in order of arrival; the baseline to measure fairness. */
 export class FifoPolicy<T> extends QueuePolicy<T> {
   private entries: Array<QueueEntry<T>> = [];
 
+  /** `limit` bounds the waiting statements of all workspaces together. */
   constructor(private readonly limit: number) {
     super();
   }
--- a/packages/core/src/admission/queue_policy.ts
+++ b/packages/core/src/admission/queue_policy.ts
@@ -1,26 +1,28 @@
 /** A statement that waits for a connection. */
 export interface QueueEntry<T> {
   readonly workspace: string;
-  /** When the wait ends without a connection. */
+  /** The time at which the statement stops waiting for a connection. */
   readonly until: number;
   readonly item: T;
 }
 
-/** Whether a statement was queued. A refused one was not run. */
+/** Whether a statement was queued. If the queue is full, it is not run. */
 export type EnqueueOutcome = 'queued' | 'full';
 
 /** Decides which of the waiting statements gets the next free connection. */
 export abstract class QueuePolicy<T> {
+  /** Adds an entry, unless the queue is full. */
   abstract enqueue(entry: QueueEntry<T>): EnqueueOutcome;
 
-  /** Takes the entry that is served next. */
+  /** Removes and returns the entry to serve next. */
   abstract dequeue(): QueueEntry<T> | undefined;
 
-  /** Takes all entries whose wait has ended. */
+  /** Removes and returns the entries whose deadline has passed. */
   abstract removeExpired(now: number): ReadonlyArray<QueueEntry<T>>;
 
-  /** The entries that would be served before a new one of the workspace. */
+  /** Counts the entries to be served before a new one of the workspace. */
   abstract entriesAhead(workspace: string): number;
 
+  /** The number of waiting statements. */
   abstract get size(): number;
 }
--- a/packages/core/src/authority/__tests__/confirmation_limit.test.ts
+++ b/packages/core/src/authority/__tests__/confirmation_limit.test.ts
@@ -14,7 +14,7 @@
 const STEP_MS = 100;
 const STEPS = 600;
 
-/** VMs with clocks of their own that read one row and probe each other. */
+/** Simulated VMs with separate clocks that read rows and probe each other. */
 class Model {
   private readonly random: Random;
   private readonly states: AuthorityState[];
@@ -23,8 +23,9 @@
   private readonly instances: string[];
   private readonly members;
   private readonly pending: Array<{at: number; run: () => void}> = [];
-  private storedVersion = 1;
-  /** When a majority had acknowledged each version. */
+  /** The configuration version in the simulated store. */
+  private stored = 1;
+  /** The time at which a majority had acknowledged each version. */
   private readonly completedAt = new Map<number, number>();
   private reachable: boolean[][] = [];
   private time = 0;
@@ -46,13 +47,16 @@
     );
     this.states = this.instances.map(name => initialAuthority(name));
     for (const [vm] of this.states.entries()) {
-      this.applyEvent(vm, {kind: 'applied', versions: {configuration: 1, ledger: 1}});
+      this.applyEvent(vm, {
+        kind: 'applied',
+        versions: {configuration: 1, ledger: 1},
+      });
       this.applyEvent(vm, {kind: 'ledger-members', members: this.members});
       this.readRow(vm, 'ledger');
     }
   }
 
-  /** Returns a description of the first breach, if there is one. */
+  /** Runs the simulation and describes the first violation, if any. */
   run(): string | undefined {
     for (let step = 0; step < STEPS; step++) {
       this.time = step * STEP_MS;
@@ -78,7 +82,7 @@
     if (this.random.fraction() < 0.2) {
       this.probe(vm, this.random.integer(0, this.states.length - 1));
     }
-    // VMs differ in how long they take to fetch and apply a version.
+    // VMs take different times to fetch and apply a version.
     if (this.random.fraction() < (this.applyRates[vm] ?? 1)) {
       this.applyEvent(vm, {kind: 'applied', versions: state.known});
     }
@@ -108,24 +112,24 @@
 
   private readRow(vm: number, row: 'configuration' | 'ledger'): void {
     const startedAt = this.clockOf(vm);
-    const version = row === 'ledger' ? 1 : this.storedVersion;
+    const version = row === 'ledger' ? 1 : this.stored;
     this.deliverLater(() =>
       this.applyEvent(vm, {kind: 'row-read', row, version, startedAt}),
     );
   }
 
-  /** One VM writes the next version once the last one has completed. */
+  /** Writes the next version once the previous one has completed. */
   private writeNextVersion(): void {
-    if (this.storedVersion === 1 || this.completedAt.has(this.storedVersion)) this.storedVersion++;
+    if (this.stored === 1 || this.completedAt.has(this.stored)) this.stored++;
   }
 
   private check(): string | undefined {
-    const versions = {configuration: this.storedVersion, ledger: 1};
+    const versions = {configuration: this.stored, ledger: 1};
     const hasMajority = this.states.some(state =>
       isAcknowledgedByMajority(state, this.members, versions),
     );
-    if (hasMajority && !this.completedAt.has(this.storedVersion)) {
-      this.completedAt.set(this.storedVersion, this.time);
+    if (hasMajority && !this.completedAt.has(this.stored)) {
+      this.completedAt.set(this.stored, this.time);
     }
     for (const [version, at] of this.completedAt) {
       if (this.time < at + CONFIRM_LIMIT_MS) continue;
@@ -149,12 +153,16 @@
   }
 
   private deliverLater(run: () => void): void {
-    // Some messages are held up for longer than the limit.
-    const maxDelayMs = this.random.fraction() < 0.3 ? 3 * CONFIRM_LIMIT_MS : 500;
-    this.pending.push({at: this.time + this.random.integer(0, maxDelayMs), run});
+    // Some messages are delayed for longer than a proof is valid.
+    const maxDelayMs =
+      this.random.fraction() < 0.3 ? 3 * CONFIRM_LIMIT_MS : 500;
+    this.pending.push({
+      at: this.time + this.random.integer(0, maxDelayMs),
+      run,
+    });
   }
 
-  /** Index -1 stands for the store. */
+  /** Whether messages get through. Index -1 denotes the store. */
   private isLinked(from: number, to: number): boolean {
     return this.reachable[from]?.[to + 1] ?? true;
   }
@@ -175,9 +183,9 @@
 }
 
 describe('confirmation limit', () => {
-  // Guards against a VM that serves withdrawn keys or shares after a change
-  // was reported as complete.
-  it('ends within the limit after a majority acknowledged a change', () => {
+  // Guards against a VM that uses revoked keys or shares after their change was
+  // reported as complete.
+  it('expires within the limit after a majority acknowledged a change', () => {
     fc.assert(
       fc.property(
         fc.integer({min: 2, max: 7}),
--- a/packages/core/src/authority/__tests__/decide_authority.test.ts
+++ b/packages/core/src/authority/__tests__/decide_authority.test.ts
@@ -50,27 +50,27 @@
   const cases: ReadonlyArray<
     readonly [string, ReadonlyArray<readonly [number, AuthorityEvent]>]
   > = [
-    ['nothing is proven at first', [[0, APPLIED]]],
+    ['there is no proof at the start', [[0, APPLIED]]],
     [
-      'an own read counts from the start of the older read',
+      'a proof by reads dates from the start of the older read',
       [
         [0, APPLIED],
         [120, read('ledger', 1, 100)],
         [220, read('configuration', 3, 200)],
       ],
     ],
-    // Guards against a VM that is confirmed with a configuration it lacks.
+    // Guards against confirming a VM that lacks the current configuration.
     [
-      'a read of a version that is not applied proves nothing',
+      'a read of a version that is not applied gives no confirmation',
       [
         [0, APPLIED],
         [120, read('ledger', 1, 100)],
         [220, read('configuration', 4, 200)],
       ],
     ],
-    // Guards against refusals while a new version is being fetched.
+    // Guards against refusing statements while a new version is fetched.
     [
-      'an earlier proof counts on while a new version is fetched',
+      'an earlier proof stays valid while a new version is fetched',
       [
         [0, APPLIED],
         [120, read('ledger', 1, 100)],
@@ -80,22 +80,22 @@
       ],
     ],
     [
-      'a relayed read counts from its age before the probe was sent',
+      'the age of a relayed proof is subtracted from the probe time',
       [
         [0, APPLIED],
         [900, answered('b', 500, report(3, 150))],
       ],
     ],
-    // Guards against news that was under way for an unknown time.
+    // Guards against trusting a report that was in transit for an unknown time.
     [
-      'a relayed read that came unasked proves nothing',
+      'an unsolicited relayed proof is ignored',
       [
         [0, APPLIED],
         [900, {kind: 'probed', instance: 'b', report: report(3, 150)}],
       ],
     ],
     [
-      'a majority counts from its oldest probe',
+      'a majority proof dates from its oldest probe',
       [
         [0, APPLIED],
         [1, MEMBERS],
@@ -104,7 +104,7 @@
       ],
     ],
     [
-      'fewer than a majority prove nothing',
+      'answers of less than a majority give no proof',
       [
         [0, APPLIED],
         [1, MEMBERS],
@@ -113,7 +113,7 @@
       ],
     ],
     [
-      'a majority of which one knows more proves nothing for this VM',
+      'a majority with a newer version gives this VM no confirmation',
       [
         [0, APPLIED],
         [1, MEMBERS],
@@ -121,9 +121,9 @@
         [420, answered('c', 400, report(4))],
       ],
     ],
-    // Guards against a majority among VMs that need not know of later changes.
+    // Guards against a majority of VMs that need not acknowledge later changes.
     [
-      'a majority of an outdated ledger proves nothing',
+      'a majority of an outdated ledger gives no proof',
       [
         [0, APPLIED],
         [1, MEMBERS],
@@ -133,7 +133,7 @@
       ],
     ],
     [
-      'probes older than the limit prove nothing',
+      'probes older than the limit give no proof',
       [
         [0, APPLIED],
         [1, MEMBERS],
@@ -150,7 +150,7 @@
     );
     expect({
       until: confirmedUntil(state),
-      told: versionReport(state, 1_000),
+      report: versionReport(state, 1_000),
     }).toMatchSnapshot();
   });
 });
--- a/packages/core/src/authority/authority_state.ts
+++ b/packages/core/src/authority/authority_state.ts
@@ -1,40 +1,41 @@
 import type {VersionReport, Versions} from '../membership/peer_record.js';
 
-/** How long a proof that the known versions are current counts. */
+/** How long a proof that the known versions are current remains valid. */
 export const CONFIRM_LIMIT_MS = 6_000;
 
 /**
- * How long a VM that takes something away waits after a majority acknowledged
- * the change: the limit plus 10 % for clocks that run at different rates.
+ * How long a VM that reclaims a resource waits after a majority acknowledged the
+ * change: the validity of a proof plus 10 % for clock drift.
  */
 export const RECLAIM_WAIT_MS = CONFIRM_LIMIT_MS * 1.1;
 
-/** At time `at` no change above `versions` had completed. */
+/** A proof that no change above `versions` had completed at time `at`. */
 export interface ConfirmationProof {
   readonly at: number;
   readonly versions: Versions;
 }
 
-/** One row as it was read, and when the read was started. */
+/** The version found by a read of a store row, and when the read started. */
 export interface RowRead {
   readonly version: number;
   readonly startedAt: number;
 }
 
-/** What one run of a VM last reported. */
+/** The latest report of one incarnation of a VM. */
 export interface PeerReport {
   readonly known: Versions;
   readonly applied: Versions;
   /**
-   * When the probe was sent that the report answered. Undefined for a report
-   * that came unasked, since it may have been under way for any time.
+   * The time at which the probe that the report answers was sent. Undefined if
+   * no probe was answered: an unsolicited report may have been in transit for
+   * any length of time.
    */
   readonly probeSentAt: number | undefined;
 }
 
 /**
- * One run of a VM that holds a share. A restarted VM is another run, since it
- * has forgotten what it knew.
+ * One incarnation of a VM that holds a share. A restart starts a new one, since
+ * the state held in memory is lost.
  */
 export interface LedgerVm {
   readonly instance: string;
@@ -42,29 +43,36 @@
   readonly dataCentre: string;
 }
 
-/** The VMs that hold shares, as one ledger version names them. */
+/** The VMs that hold shares in one version of the ledger. */
 export interface LedgerMembers {
   readonly version: number;
   readonly vms: readonly LedgerVm[];
 }
 
-/** What a VM knows about versions and who else knows them. */
+/** The versions known to a VM, and what its peers reported about theirs. */
 export interface AuthorityState {
+  /** The VM's incarnation. */
   readonly instance: string;
+  /** The highest versions that the VM has read or received. */
   readonly known: Versions;
+  /** The versions in force on this VM. */
   readonly applied: Versions;
+  /** The VMs that hold shares in the latest applied ledger version. */
   readonly ledger: LedgerMembers;
+  /** The latest read of each row. */
   readonly reads: {
     readonly configuration?: RowRead;
     readonly ledger?: RowRead;
   };
-  /** Proofs that may still count, newest versions last. */
+  /** Proofs that may still be valid, newest versions last. */
   readonly proofs: readonly ConfirmationProof[];
+  /** The latest report of each peer, by incarnation. */
   readonly reports: ReadonlyMap<string, PeerReport>;
 }
 
 const NO_VERSIONS: Versions = {configuration: 0, ledger: 0};
 
+/** Returns the state of an incarnation that has no versions and no proofs. */
 export function initialAuthority(instance: string): AuthorityState {
   return {
     instance,
@@ -77,12 +85,12 @@
   };
 }
 
-/** Whether `a` is at least `b` in each row. */
+/** Whether `a` is at least as high as `b` in each row. */
 export function coversVersions(a: Versions, b: Versions): boolean {
   return a.configuration >= b.configuration && a.ledger >= b.ledger;
 }
 
-/** The higher version of each row. */
+/** Returns the higher version of each row. */
 export function highestVersions(a: Versions, b: Versions): Versions {
   return {
     configuration: Math.max(a.configuration, b.configuration),
@@ -91,9 +99,10 @@
 }
 
 /**
- * What this VM tells on a probe. A proof for lower versions than the known ones
- * is told too: if nothing above them had completed, nothing above the known
- * ones had.
+ * Returns the report that this VM sends with a probe or its answer. The age of
+ * the newest proof is included even if the proof is for lower versions than the
+ * known ones: if no change above them had completed, none above the known ones
+ * had either.
  */
 export function versionReport(
   state: AuthorityState,
--- a/packages/core/src/authority/confirmation.ts
+++ b/packages/core/src/authority/confirmation.ts
@@ -5,9 +5,9 @@
 import type {AuthorityState, LedgerMembers} from './authority_state.js';
 
 /**
- * Returns the time until which the VM counts as confirmed. A proof for versions
- * that are not yet in force here does not count. One for older versions still
- * does: a change completes only when all such proofs have expired.
+ * Returns the time until which the VM is confirmed. Proofs for versions that
+ * this VM has not applied are ignored. Proofs for older versions are valid: a
+ * change completes only after all such proofs have expired.
  */
 export function confirmedUntil(state: AuthorityState): number {
   const times = state.proofs
@@ -16,6 +16,7 @@
   return Math.max(Number.NEGATIVE_INFINITY, ...times);
 }
 
+/** Returns whether the VM is confirmed at `now`. */
 export function confirmationAt(
   state: AuthorityState,
   now: number,
@@ -23,7 +24,7 @@
   return now < confirmedUntil(state) ? 'confirmed' : 'unconfirmed';
 }
 
-/** The runs of VMs that reported to have these versions in force. */
+/** Returns the incarnations that have these versions in force, as reported. */
 export function acknowledgedBy(
   state: AuthorityState,
   versions: Versions,
@@ -38,8 +39,8 @@
 
 /**
  * Whether a majority of a ledger's VMs has these versions in force. A change of
- * the ledger asks this of the VMs before the change and after it, so that the
- * majorities of successive versions intersect.
+ * the ledger requires this both for the VMs before it and for the VMs after it,
+ * so that the majorities of successive versions intersect.
  */
 export function isAcknowledgedByMajority(
   state: AuthorityState,
--- a/packages/core/src/authority/decide_authority.ts
+++ b/packages/core/src/authority/decide_authority.ts
@@ -11,9 +11,9 @@
   LedgerMembers,
 } from './authority_state.js';
 
-/** What a VM learns about versions. */
+/** A read, message or local change that affects a VM's version state. */
 export type AuthorityEvent =
-  /** This VM read a row; an absent row has version 0. */
+  /** This VM read a store row. A missing row has version 0. */
   | {
       readonly kind: 'row-read';
       readonly row: 'configuration' | 'ledger';
@@ -33,12 +33,12 @@
       readonly instance: string;
       readonly report: VersionReport;
     }
-  /** Versions are now in force on this VM. */
+  /** This VM applied versions, which are now in force on it. */
   | {readonly kind: 'applied'; readonly versions: Partial<Versions>}
-  /** The VMs that hold shares in the ledger version that was applied. */
+  /** The VMs that hold shares in the ledger version that this VM applied. */
   | {readonly kind: 'ledger-members'; readonly members: LedgerMembers};
 
-/** Takes in what the VM learned, with the proofs that follow from it. */
+/** Applies an event to the state and adds the proofs that follow from it. */
 export function decideAuthority(
   state: AuthorityState,
   event: AuthorityEvent,
@@ -77,7 +77,7 @@
   }
 }
 
-/** Proof (a): both rows were read, the older read counts. */
+/** Proof (a): both rows were read. It dates from the start of the older read. */
 function applyRowRead(
   state: AuthorityState,
   event: Extract<AuthorityEvent, {kind: 'row-read'}>,
@@ -103,8 +103,9 @@
 }
 
 /**
- * Proofs (b) and (c). A relayed proof is dated back from the time at which the
- * probe was sent, since the time that the answer took is not known.
+ * Proofs (b) and (c). Proof (b) is relayed by a peer. Its age is subtracted from
+ * the time at which the probe was sent, since the transit time of the answer is
+ * unknown.
  */
 function applyAnswer(
   state: AuthorityState,
@@ -133,13 +134,13 @@
 }
 
 /**
- * Proof (c): a majority of the ledger's VMs answered and none knows a version
- * that this VM does not know. A change that completed before the oldest of
- * these probes was acknowledged by a majority, so one of them would know it.
+ * Proof (c): a majority of the ledger's VMs answered, and none reported a version
+ * that this VM lacks. A change that completed before the oldest of these probes
+ * was acknowledged by a majority, so at least one answer would include it.
  *
- * The majority is taken among the VMs of the newest ledger version that is
- * known. With an older set nothing would follow, as later changes need not be
- * acknowledged by its VMs.
+ * The majority is counted among the VMs of the newest known ledger version.
+ * Answers of an older set prove nothing, since its VMs need not acknowledge
+ * later changes.
  */
 function withMajorityProof(state: AuthorityState, now: number): AuthorityState {
   const {ledger, known} = state;
@@ -159,8 +160,9 @@
 }
 
 /**
- * Keeps the proofs that still count. A proof for lower versions outlives a
- * newer one for higher versions, as the VM may not have those in force yet.
+ * Adds a proof and drops expired and superseded ones. A proof for lower versions
+ * is kept beside a newer one for higher versions, since the VM may not have
+ * applied those yet.
  */
 function withProof(
   state: AuthorityState,
@@ -177,7 +179,7 @@
   return {...state, proofs: [...others, proof]};
 }
 
-/** Whether `a` confirms all that `b` confirms, for as long. */
+/** Whether `a` confirms everything that `b` confirms, for at least as long. */
 function supersedes(a: ConfirmationProof, b: ConfirmationProof): boolean {
   return a.at >= b.at && coversVersions(b.versions, a.versions);
 }
--- a/packages/core/src/authority/probes_for_proof.ts
+++ b/packages/core/src/authority/probes_for_proof.ts
@@ -1,19 +1,19 @@
 import {majorityOf} from '../routing/group_view.js';
 import type {AuthorityState} from './authority_state.js';
 
-/** A VM seeks a proof on its own when the last one is older than this. */
+/** A VM sends extra probes when its newest proof is older than this. */
 const PROOF_REFRESH_AGE_MS = 2_000;
 
-/** Bounds the traffic of a VM that has lost the store. */
+/** Bounds the probe traffic of a VM that cannot reach the store. */
 const MAX_PROBES = 16;
 
-/** A majority is reached anew within this number of calls. */
+/** The number of calls within which a majority is probed. */
 const MAJORITY_PROBE_ROUNDS = 4;
 
 /**
- * Returns the VMs to probe beside the one of the membership round, because the
- * last proof grows old. A round of probes reaches a majority of a large fleet
- * too slowly for the limit.
+ * Returns the VMs to probe in addition to the one of the membership round, if
+ * the newest proof is due for renewal. In a large fleet, the membership rounds
+ * alone take longer to reach a majority than a proof is valid.
  */
 export function probesForProof(
   state: AuthorityState,
@@ -25,7 +25,10 @@
   const inLedger = new Set(state.ledger.vms.map(vm => vm.instance));
   const count = Math.min(
     MAX_PROBES,
-    Math.ceil(majorityOf(Math.max(inLedger.size, running.length)) / MAJORITY_PROBE_ROUNDS),
+    Math.ceil(
+      majorityOf(Math.max(inLedger.size, running.length)) /
+        MAJORITY_PROBE_ROUNDS,
+    ),
   );
   const lastProbedAt = (instance: string): number =>
     state.reports.get(instance)?.probeSentAt ?? Number.NEGATIVE_INFINITY;
--- a/packages/core/src/connections/__tests__/connections.test.ts
+++ b/packages/core/src/connections/__tests__/connections.test.ts
@@ -13,7 +13,7 @@
 }
 
 describe('groupOwners', () => {
-  // Guards against more connections than the member accepts.
+  // Guards against opening more connections than a member accepts.
   it.each([
     ['owners', 6, 15],
     ['owners', 440, 15],
@@ -22,7 +22,7 @@
     ['direct', 8, 25],
     ['direct', 40, 25],
   ] as ReadonlyArray<readonly [RoutingMode, number, number]>)(
-    '%s mode with %i VMs and %i connections',
+    'stays within the limit in %s mode with %i VMs and %i connections',
     (mode, count, connectionLimit) => {
       const group = {database: 'ledger-1', connectionLimit};
       const owners = groupOwners(group, mode, fleet(count));
@@ -37,7 +37,7 @@
     },
   );
 
-  // Guards against owners that change although neither of them is involved.
+  // Guards against replacing owners that a membership change does not affect.
   it('keeps the owners of the other data centres when one VM leaves', () => {
     const group = {database: 'ledger-1', connectionLimit: 15};
     const before = groupOwners(group, 'owners', fleet(9));
@@ -54,12 +54,12 @@
 
 describe('forwardTargets', () => {
   const SELF = {vm: 'vm-9', dataCentre: 'b'};
-  // Guards against forwarding to a VM that cannot answer.
+  // Guards against forwarding to a VM that cannot respond.
   it.each([
     ['all alive', ['alive', 'alive', 'alive']],
     ['own data centre suspected', ['alive', 'suspect', 'alive']],
     ['own data centre down', ['alive', 'down', 'alive']],
-    ['none', ['left', 'down', 'down']],
+    ['no owner running', ['left', 'down', 'down']],
   ] as ReadonlyArray<readonly [string, readonly PeerState[]]>)(
     '%s',
     (unusedName, states) => {
@@ -75,11 +75,19 @@
 });
 
 describe('mayOpenConnections', () => {
-  // Guards against two VMs that together exceed the member's limit.
+  // Guards against two VMs that together exceed a member's connection limit.
   it.each([
     ['no previous owner', 'open', []],
-    ['one is behind', 'wait', [[4, 'held'] as const, [5, 'held'] as const]],
-    ['the one behind was reclaimed', 'open', [[4, 'reclaimed'] as const]],
+    [
+      'one has not applied the version',
+      'wait',
+      [[4, 'held'] as const, [5, 'held'] as const],
+    ],
+    [
+      'the one that has not applied it was reclaimed',
+      'open',
+      [[4, 'reclaimed'] as const],
+    ],
     ['all applied it', 'open', [[5, 'held'] as const, [6, 'held'] as const]],
   ] as const)('%s: %s', (unusedName, expected, previous) => {
     const owners = previous.map(([appliedLedger, share], index) => ({
--- a/packages/core/src/connections/forward_targets.ts
+++ b/packages/core/src/connections/forward_targets.ts
@@ -2,15 +2,16 @@
 import type {PeerState} from '../membership/peer_record.js';
 import type {OwnerCandidate} from './group_owners.js';
 
-/** An owner of a group as a forwarding VM sees it. */
+/** An owner of a group with its membership state on the forwarding VM. */
 export interface OwnerView extends OwnerCandidate {
   readonly state: PeerState;
 }
 
 /**
- * Orders the owners that a VM may forward to: its own data centre first, and
- * suspected ones last. Owners elsewhere are ordered by the VM's name, so that
- * the VMs of a data centre without an owner spread over the others.
+ * Returns the owners that a VM may forward to: those in its own data centre
+ * first, suspected ones last. Owners of equal rank are ordered by rendezvous
+ * hashing of the VM's name, so that the VMs of a data centre without an owner
+ * spread over the other owners.
  */
 export function forwardTargets(
   self: OwnerCandidate,
@@ -27,6 +28,7 @@
     .filter(owner => owner.state === 'alive' || owner.state === 'suspect')
     .sort(
       (a, b) =>
-        cost(a) - cost(b) || spreadOrder.indexOf(a.vm) - spreadOrder.indexOf(b.vm),
+        cost(a) - cost(b) ||
+        spreadOrder.indexOf(a.vm) - spreadOrder.indexOf(b.vm),
     );
 }
--- a/packages/core/src/connections/group_owners.ts
+++ b/packages/core/src/connections/group_owners.ts
@@ -1,25 +1,29 @@
 import {rendezvousOrder} from '../common/rendezvous.js';
 
-/** How many VMs of each data centre own the connections to a group. */
+/** The number of VMs per data centre that own the connections to a group. */
 export const OWNERS_PER_DATA_CENTRE = 1;
 
-/** Whether all VMs connect to the members or only some for each group. */
+/** Whether all VMs connect to a group's members, or only its owners. */
 export type RoutingMode = 'direct' | 'owners';
 
-/** A VM that may own connections. */
+/** A VM that may be an owner of a group's connections. */
 export interface OwnerCandidate {
   readonly vm: string;
   readonly dataCentre: string;
 }
 
-/** What the connections to one group are divided by. */
+/** A group and the number of connections that its members accept. */
 export interface GroupSize {
   readonly database: string;
   /** The lowest connection limit among the members. */
   readonly connectionLimit: number;
 }
 
-/** Chooses the VMs that connect to the members of a group. */
+/**
+ * Chooses the VMs that connect to the members of a group. In `owners` mode these
+ * are a fixed number per data centre, in `direct` mode all VMs or as many as the
+ * connection limit allows.
+ */
 export function groupOwners(
   group: GroupSize,
   mode: RoutingMode,
@@ -36,9 +40,9 @@
 }
 
 /**
- * The number of data connections that each owner may open to a member. Each
- * owner has one control connection, and one is kept free for a VM that takes
- * over the polling.
+ * Returns the number of data connections that each owner may open to a member.
+ * Each owner also has one control connection, and one connection is reserved for
+ * a VM that takes over polling.
  */
 export function connectionAllowance(
   connectionLimit: number,
@@ -48,7 +52,7 @@
   return Math.max(0, Math.floor((connectionLimit - owners - 1) / owners));
 }
 
-/** The greatest number of owners that leaves each an allowance of one. */
+/** Returns the largest number of owners with an allowance of at least one. */
 function maxOwners(connectionLimit: number): number {
   return Math.max(0, Math.floor((connectionLimit - 1) / 2));
 }
--- a/packages/core/src/connections/may_open_connections.ts
+++ b/packages/core/src/connections/may_open_connections.ts
@@ -1,16 +1,17 @@
-/** An owner of a group before the ledger version that changed the owners. */
+/** A VM that owned a group before the ledger version that changed owners. */
 export interface PreviousOwner {
+  /** The VM's incarnation. */
   readonly instance: string;
-  /** The ledger version that the VM reported to have in force. */
+  /** The ledger version that the VM last reported as applied. */
   readonly appliedLedger: number;
-  /** Whether the ledger still names this run of the VM. */
+  /** Whether the ledger still contains this incarnation of the VM. */
   readonly share: 'held' | 'reclaimed';
 }
 
 /**
- * Whether a new owner may open its connections. Until each previous owner has
- * applied the ledger version that divided the connections anew, it may still
- * hold more of them than it has now.
+ * Whether a new owner may open its connections. A previous owner that has not
+ * applied the ledger version that redistributed the connections may still hold
+ * more than its new allowance.
  */
 export function mayOpenConnections(
   ledgerVersion: number,
--- a/packages/core/src/quota/__tests__/fault_schedule.ts
+++ b/packages/core/src/quota/__tests__/fault_schedule.ts
@@ -58,11 +58,12 @@
 ): string[] {
   const run = new FaultSimulation(seed);
   for (const step of steps) run.step(step);
-  return run.violations;
+  return run.broken;
 }
 
 class FaultSimulation {
-  readonly violations: string[] = [];
+  /** Violations of the bounds found so far. */
+  readonly broken: string[] = [];
   private readonly random: Random;
   private readonly vms: SimulatedVm[] = [];
   private readonly delivered: Message[] = [];
@@ -136,12 +137,12 @@
         this.decide(step.vm, {kind: 'tick'});
         break;
     }
-    this.checkBounds();
+    this.check();
   }
 
   private start(vm: number): void {
     const simulated = this.vms[vm] as SimulatedVm;
-    simulated.state = newQuotaState(this.incarnationOf(vm));
+    simulated.state = newQuotaState(this.name(vm));
     const limits = new Map([
       [WORKSPACE, {rate: RATE_PER_SECOND, burst: BURST_TOKENS}],
     ]);
@@ -159,7 +160,7 @@
     const simulated = this.vms[vm] as SimulatedVm;
     simulated.restarts++;
     simulated.pausedUntil = 0;
-    simulated.state = newQuotaState(this.incarnationOf(vm));
+    simulated.state = newQuotaState(this.name(vm));
     const limits = new Map([
       [WORKSPACE, {rate: RATE_PER_SECOND, burst: BURST_TOKENS}],
     ]);
@@ -169,7 +170,8 @@
     this.start(vm);
   }
 
-  private incarnationOf(vm: number): string {
+  /** Returns the VM's present incarnation. */
+  private name(vm: number): string {
     return `${vm}#${this.vms[vm]?.restarts ?? 0}`;
   }
 
@@ -236,7 +238,8 @@
     this.inFlight.push({from, to, incarnation, content});
   }
 
-  private checkBounds(): void {
+  /** Checks that the sums over all VMs stay within rate and burst. */
+  private check(): void {
     let tokens = 0;
     let ratePpm = 0;
     this.vms.forEach((simulated, vm) => {
@@ -247,10 +250,10 @@
       ratePpm += rawRatePpm(account);
     });
     if (tokens > BURST_TOKENS + 1e-6) {
-      this.violations.push(`${tokens} tokens at ${this.now}`);
+      this.broken.push(`${tokens} tokens at ${this.now}`);
     }
     if (ratePpm > WHOLE_PPM) {
-      this.violations.push(`${ratePpm} ppm of the rate at ${this.now}`);
+      this.broken.push(`${ratePpm} ppm of the rate at ${this.now}`);
     }
     this.checkWindows();
   }
@@ -263,7 +266,7 @@
       const bound =
         BURST_TOKENS + RATE_PER_SECOND * (1 + MAX_DRIFT_FRACTION) * seconds;
       if (admitted.length - i > bound + 1e-6) {
-        this.violations.push(`${admitted.length - i} admitted in ${seconds} s`);
+        this.broken.push(`${admitted.length - i} admitted in ${seconds} s`);
         return;
       }
     }
