--- a/packages/core/src/connections/__tests__/connections.test.ts
+++ b/packages/core/src/connections/__tests__/connections.test.ts
@@ -59,7 +59,7 @@
     ['all alive', ['alive', 'alive', 'alive']],
     ['own data centre suspected', ['alive', 'suspect', 'alive']],
     ['own data centre down', ['alive', 'down', 'alive']],
-    ['no owner running', ['left', 'down', 'down']],
+    ['none', ['left', 'down', 'down']],
   ] as ReadonlyArray<readonly [string, readonly PeerState[]]>)(
     '%s',
     (unusedName, states) => {
