--- a/packages/core/src/admission/deficit_round_robin_policy.ts
+++ b/packages/core/src/admission/deficit_round_robin_policy.ts
@@ -1,18 +1,20 @@
 import {QueuePolicy} from './queue_policy.js';
 import type {EnqueueOutcome, QueueEntry} from './queue_policy.js';
 
+/** The waiting statements of one workspace. */
 interface WorkspaceQueue<T> {
   entries: Array<QueueEntry<T>>;
+  /** The unused cost units carried over from earlier turns. */
   deficit: number;
 }
 
-/** What each workspace may use in one round. Equal, so weights are equal. */
+/** The cost units added per turn; the same for all, so weights are equal. */
 const QUANTUM = 1;
 
 /**
- * Serves the workspaces in turn, so that one with many waiting statements does
- * not delay the others. Each statement costs one unit: its execution time is
- * not known before it has run.
+ * Serves the workspaces in turn, so that a workspace with many waiting
+ * statements does not delay the others. Each statement costs one unit, since its
+ * execution time is unknown in advance.
  */
 export class DeficitRoundRobinPolicy<T> extends QueuePolicy<T> {
   /** Workspaces with waiting statements, in the order of their turns. */
@@ -39,7 +41,7 @@
   override dequeue(): QueueEntry<T> | undefined {
     for (const [workspace, queue] of this.active) {
       queue.deficit += QUANTUM;
-      // The next turn of the workspace comes after all others.
+      // The workspace's next turn comes after those of all others.
       this.active.delete(workspace);
       if (queue.deficit < 1) {
         this.active.set(workspace, queue);
@@ -47,7 +49,7 @@
       }
       const entry = queue.entries.shift();
       queue.deficit -= 1;
-      // A workspace without waiting statements saves up nothing.
+      // A workspace without waiting statements accumulates no deficit.
       if (queue.entries.length > 0) this.active.set(workspace, queue);
       if (entry) this.total--;
       return entry;
@@ -55,7 +57,7 @@
     return undefined;
   }
 
-  /** Returns an entry that was taken and could not be served; it comes next. */
+  /** Puts a dequeued entry that could not be served back at the front. */
   putBack(entry: QueueEntry<T>): void {
     const others = [...this.active].filter(([key]) => key !== entry.workspace);
     const queue = this.active.get(entry.workspace) ?? {entries: [], deficit: 0};
@@ -77,7 +79,10 @@
     return expired;
   }
 
-  /** One turn for each earlier statement of its own, and what others get. */
+  /**
+   * Counts the workspace's own entries and, for each other workspace, up to one
+   * more than that number, since workspaces take turns.
+   */
   override entriesAhead(workspace: string): number {
     const own = this.active.get(workspace)?.entries.length ?? 0;
     let ahead = own;
