--- a/packages/core/src/failover/__fixtures__/fake_fleet.ts
+++ b/packages/core/src/failover/__fixtures__/fake_fleet.ts
@@ -8,18 +8,19 @@
 import {FakeMember} from './fake_member.js';
 
 const TICK_MS = 5;
-const POLL_MS = 100;
-const OBSERVE_MS = 50;
+const POLL_EVERY_MS = 100;
+const OBSERVE_EVERY_MS = 50;
 const LATENCY_MS = 5;
-const LAG_MS = 300;
+const LAGGING_INTERVAL_MS = 300;
 const CALL_TIMEOUT_MS = 500;
-const PRIMARY_LOST_AT = 1_000;
-const PRIMARY_BACK_AT = 9_000;
-const END_AT = 20_000;
-const FAULT_MS = 4_000;
-const MOVE_GRACE_MS = 8_000;
-const CONFIGURED_LATE_AT = 7_000;
-
+const PRIMARY_LOST_AT_MS = 1_000;
+const PRIMARY_BACK_AT_MS = 9_000;
+const END_AT_MS = 20_000;
+const FAULT_DURATION_MS = 4_000;
+const SWITCHOVER_GRACE_MS = 8_000;
+const CONFIGURED_LATE_AT_MS = 7_000;
+
+/** The faults of the matrix; see `FakeFleet.startFault`. */
 export const FAULT_KINDS = [
   'message-lost',
   'answer-lost',
@@ -30,6 +31,7 @@
   'store-answer-lost',
   'second-owner',
 ] as const;
+/** The steps of an attempt at which a fault can start. */
 export const STEPS = [
   'read-row',
   'claim',
@@ -39,44 +41,51 @@
   'publish',
 ] as const;
 
-/** A fault that starts when a VM first takes the step. */
+/** A fault that starts when a VM first takes the given step. */
 export interface Fault {
   readonly kind: (typeof FAULT_KINDS)[number];
   readonly step: (typeof STEPS)[number];
 }
 
-/** What happens apart from the faults. */
+/** The initial state and the course of a run, apart from its faults. */
 export type Scenario =
+  /** The primary is unreachable from 1 s to 9 s. */
   | 'primary-lost'
-  /** One data centre does not reach the primary. */
+  /** One data centre cannot reach the primary. */
   | 'one-partition'
+  /** Two of three data centres cannot reach the primary. */
   | 'two-partitions'
-  /** One data centre is in service, and it does not reach the primary. */
+  /** The only data centre in service cannot reach the primary. */
   | 'one-data-centre'
-  /** No member was ever promoted, and the VMs hear nothing of each other. */
+  /** No member was ever promoted, and the VMs receive no reports. */
   | 'new-group'
+  /** The configuration makes the primary leave at 1 s. */
   | 'planned-move'
-  /** The primary leaves while another VM has a transaction open until 5 s. */
+  /** One VM has a transaction open until 5 s when the primary has to leave. */
   | 'busy-planned-move'
-  /** That VM has the configuration only after the end of its transaction. */
+  /** The VM with the transaction gets the configuration after its end, at 7 s. */
   | 'late-planned-move'
-  /** The transaction of the late VM does not end. */
+  /** As `late-planned-move`, but the transaction never ends. */
   | 'stuck-planned-move'
-  /** The only member with the whole log is the one that has to leave. */
+  /** Only the primary that has to leave holds the whole log until 5 s. */
   | 'lagging-planned-move';
 
-export interface Verdict {
+/** The outcome of a run. */
+export interface RunResult {
+  /** The violated guarantees, empty if all hold. */
   readonly violations: readonly string[];
-  /** Longest time without an acknowledged write. */
+  /** Longest time without an acknowledged write, in milliseconds. */
   readonly gapMs: number;
   readonly finalTerm: number;
-  /** Each primary with the time from which it accepted writes. */
+  /** Each primary with its term and the time of its first accepted writes. */
   readonly primaries: readonly string[];
 }
 
+/** A VM whose failover decisions run on messages of the fleet. */
 class FakeVm {
   state: FailoverState;
   views: MemberView[] = [];
+  /** Messages wait in the inbox until this time. */
   pausedUntil = 0;
   readonly inbox: FailoverMessage[] = [];
   readonly random: Random;
@@ -93,7 +102,7 @@
       vm: name,
       dataCentre,
       owner: name,
-      moveGraceMs: MOVE_GRACE_MS,
+      moveGraceMs: SWITCHOVER_GRACE_MS,
     };
     this.state = {
       ...initialFailoverState(identity),
@@ -111,19 +120,25 @@
   }
 }
 
-/** Three members and three VMs in virtual time, whose first primary is lost. */
+/**
+ * Simulates a group of three members and three VMs in virtual time. Each VM and
+ * each member is in a data centre of its own.
+ */
 export class FakeFleet {
   private now = 0;
   private readonly members = ['m1', 'm2', 'm3'].map(n => new FakeMember(n));
   private readonly vms: FakeVm[];
   private readonly unreachable = new Map<string, number>();
   private readonly queue: Array<{at: number; run: () => void}> = [];
+  /** The members that accepted writes in each term. */
   private readonly acceptedBy = new Map<number, Set<string>>();
+  /** When each write was last held by a majority, by id of the write. */
   private readonly acknowledged = new Map<number, number>();
   private row: ClaimRow | undefined;
   private rowVersion = 0;
   private storeDownUntil = 0;
   private storeAnswersToLose = 0;
+  /** The faults that have not started yet. */
   private pending: Fault[];
   private readonly primaries: Array<{term: number; text: string}> = [];
 
@@ -150,17 +165,17 @@
     }
   }
 
-  run(): Verdict {
-    for (; this.now <= END_AT; this.now += TICK_MS) {
-      if (this.now === PRIMARY_LOST_AT) this.disturb();
-      if (this.now === CONFIGURED_LATE_AT) this.configure('late');
+  run(): RunResult {
+    for (; this.now <= END_AT_MS; this.now += TICK_MS) {
+      if (this.now === PRIMARY_LOST_AT_MS) this.startScenario();
+      if (this.now === CONFIGURED_LATE_AT_MS) this.configure('late');
       this.replicate();
-      this.deliver();
-      this.notePrimary();
-      if (this.now % POLL_MS === 0) this.vms.forEach(vm => this.poll(vm));
-      if (this.now % OBSERVE_MS === 0) {
+      this.runDueTasks();
+      this.recordPrimaries();
+      if (this.now % POLL_EVERY_MS === 0) this.vms.forEach(vm => this.poll(vm));
+      if (this.now % OBSERVE_EVERY_MS === 0) {
         for (const vm of this.vms) {
-          this.tell(vm, this.observation(vm));
+          this.send(vm, this.observation(vm));
         }
       }
       if (this.now % 25 === 0) this.write();
@@ -168,21 +183,24 @@
     return this.verdict();
   }
 
-  private notePrimary(): void {
+  /** Records the first primary of each term. */
+  private recordPrimaries(): void {
     for (const {writable, name, term} of this.members) {
-      const known = this.primaries.some(item => item.term === term);
-      if (!writable || known) continue;
+      const recorded = this.primaries.some(item => item.term === term);
+      if (!writable || recorded) continue;
       this.primaries.push({term, text: `${name} in ${term} at ${this.now} ms`});
     }
   }
 
-  private disturb(): void {
+  /** Starts the disturbance of the scenario. */
+  private startScenario(): void {
     if (this.scenario === 'primary-lost') {
-      this.unreachable.set('m1', PRIMARY_BACK_AT);
+      this.unreachable.set('m1', PRIMARY_BACK_AT_MS);
     }
     this.configure('in-time');
   }
 
+  /** Delivers the configuration in which `m1` has to leave. */
   private configure(when: 'in-time' | 'late'): void {
     if (!this.scenario.endsWith('planned-move')) return;
     for (const vm of this.vms) {
@@ -193,10 +211,11 @@
           ? {...member, standing: 'leaving' as const}
           : member,
       );
-      this.tell(vm, {kind: 'configured', members, dataCentresInService: 3});
+      this.send(vm, {kind: 'configured', members, dataCentresInService: 3});
     }
   }
 
+  /** Returns what a VM observes, with its load on the primary. */
   private observation(vm: FakeVm): FailoverMessage {
     const busyUntil: Partial<Record<Scenario, number>> = {
       'busy-planned-move': 5_000,
@@ -216,14 +235,14 @@
       'one-data-centre': 'v1',
     };
     const isCut = name === 'm1' && cut[this.scenario]?.includes(vm.name);
-    return this.reachable(name) && !(isCut && this.now >= PRIMARY_LOST_AT);
+    return this.reachable(name) && !(isCut && this.now >= PRIMARY_LOST_AT_MS);
   }
 
   private reachable(name: string): boolean {
     return (this.unreachable.get(name) ?? 0) <= this.now;
   }
 
-  /** Each writable member accepts a write, also while nobody reaches it. */
+  /** Lets each writable member accept a write, even while it is unreachable. */
   private write(): void {
     for (const member of this.members) {
       if (!member.writable) continue;
@@ -239,14 +258,16 @@
     for (const primary of this.members) {
       if (!this.reachable(primary.name) || stopped) continue;
       for (const member of this.members) {
-        // One member lags, so that the choice of the candidate matters.
-        const lags = member.name === 'm3' && this.now % LAG_MS !== 0;
+        // One member lags, so that the candidates have different logs.
+        const lags =
+          member.name === 'm3' && this.now % LAGGING_INTERVAL_MS !== 0;
         if (this.reachable(member.name) && !lags) member.replicate(primary);
       }
     }
     for (const member of this.members) this.acknowledge(member);
   }
 
+  /** Acknowledges the last write of a member that a majority holds. */
   private acknowledge(member: FakeMember): void {
     const {term} = member;
     const last = member.log.at(-1);
@@ -276,11 +297,11 @@
     });
   }
 
-  private later(delayMs: number, run: () => void): void {
+  private schedule(delayMs: number, run: () => void): void {
     this.queue.push({at: this.now + delayMs, run});
   }
 
-  private deliver(): void {
+  private runDueTasks(): void {
     const due = this.queue.filter(item => item.at <= this.now);
     for (const item of due) {
       this.queue.splice(this.queue.indexOf(item), 1);
@@ -288,7 +309,8 @@
     }
   }
 
-  private tell(vm: FakeVm, message: FailoverMessage): void {
+  /** Delivers a message to a VM, unless the VM is paused. */
+  private send(vm: FakeVm, message: FailoverMessage): void {
     vm.inbox.push(message);
     if (vm.pausedUntil > this.now) return;
     for (const next of vm.inbox.splice(0)) {
@@ -297,35 +319,41 @@
       for (const action of step.actions) {
         if (action.kind === 'report') this.report(vm, action.report);
         else if (action.kind !== 'started' && action.kind !== 'ended') {
-          this.carryOut(vm, action);
+          this.execute(vm, action);
         }
       }
     }
   }
 
+  /** Sends the report of a VM to the other VMs. */
   private report(from: FakeVm, report: FailoverReport): void {
     if (this.scenario === 'new-group') return;
     for (const vm of this.vms) {
       if (vm === from) continue;
-      this.later(LATENCY_MS, () => this.tell(vm, {kind: 'reported', report}));
+      this.schedule(LATENCY_MS, () =>
+        this.send(vm, {kind: 'reported', report}),
+      );
     }
   }
 
-  private carryOut(vm: FakeVm, action: AttemptAction): void {
-    // A fault at a member that is gone anyway would show nothing.
-    const idle =
+  /** Executes an action of a VM, with the pending fault of its step. */
+  private execute(vm: FakeVm, action: AttemptAction): void {
+    // A fault at a member that is already unreachable would have no effect.
+    const targetUnreachable =
       'backendServer' in action && !this.reachable(action.backendServer);
-    const fault = idle ? undefined : this.takeFault(stepOf(action));
-    if (fault) this.start(fault, vm, action);
+    const fault = targetUnreachable
+      ? undefined
+      : this.takeFault(stepOf(action));
+    if (fault) this.startFault(fault, vm, action);
     if (fault?.kind === 'message-lost') return;
     const loseAnswer = fault?.kind === 'answer-lost';
     const send = (event: AttemptEvent): void => {
       const lost = loseAnswer ? lostAnswer(action) : undefined;
-      this.later(lost ? CALL_TIMEOUT_MS : LATENCY_MS, () =>
-        this.tell(vm, {kind: 'progress', event: lost ?? event}),
+      this.schedule(lost ? CALL_TIMEOUT_MS : LATENCY_MS, () =>
+        this.send(vm, {kind: 'progress', event: lost ?? event}),
       );
     };
-    this.later(LATENCY_MS, () => {
+    this.schedule(LATENCY_MS, () => {
       if (action.kind === 'read-row' || action.kind === 'write-row') {
         send(this.store(action));
         return;
@@ -340,6 +368,7 @@
     });
   }
 
+  /** Accesses the claim row in the store. */
   private store(
     action: Extract<AttemptAction, {kind: 'read-row' | 'write-row'}>,
   ): AttemptEvent {
@@ -367,8 +396,8 @@
     return found;
   }
 
-  private start({kind}: Fault, vm: FakeVm, action: AttemptAction): void {
-    const until = this.now + FAULT_MS;
+  private startFault({kind}: Fault, vm: FakeVm, action: AttemptAction): void {
+    const until = this.now + FAULT_DURATION_MS;
     switch (kind) {
       case 'message-lost':
       case 'answer-lost':
@@ -381,7 +410,9 @@
         return;
       case 'owner-paused':
         vm.pausedUntil = until;
-        this.later(FAULT_MS, () => this.tell(vm, this.observation(vm)));
+        this.schedule(FAULT_DURATION_MS, () =>
+          this.send(vm, this.observation(vm)),
+        );
         return;
       case 'owner-killed':
         vm.pausedUntil = Infinity;
@@ -393,28 +424,29 @@
         this.storeAnswersToLose += 1;
         return;
       case 'second-owner':
-        this.later(2 * LATENCY_MS, () =>
-          this.hurry(this.vms.find(other => other !== vm)),
+        this.schedule(2 * LATENCY_MS, () =>
+          this.startAttemptNow(this.vms.find(other => other !== vm)),
         );
         return;
     }
   }
 
-  /** Makes a VM start an attempt of its own without any wait. */
-  private hurry(vm: FakeVm | undefined): void {
+  /** Removes all waits of a VM, so that it starts an attempt of its own. */
+  private startAttemptNow(vm: FakeVm | undefined): void {
     const own = vm?.state.reports[vm.name];
     if (!vm || !own) return;
-    const heard = {...own, since: -60_000};
-    const reports = {...vm.state.reports, [vm.name]: heard};
+    const aged = {...own, since: -60_000};
+    const reports = {...vm.state.reports, [vm.name]: aged};
     for (const [name, report] of Object.entries(vm.state.reports)) {
       reports[name] = {...report, since: -60_000};
     }
     const waitedFor = this.rowVersion;
     vm.state = {...vm.state, reports, notBefore: 0, waitedFor};
-    this.tell(vm, this.observation(vm));
+    this.send(vm, this.observation(vm));
   }
 
-  private verdict(): Verdict {
+  /** Checks the guarantees at the end of the run. */
+  private verdict(): RunResult {
     const violations: string[] = [];
     for (const [term, names] of this.acceptedBy) {
       if (names.size > 1) violations.push(`two primaries in term ${term}`);
@@ -424,9 +456,9 @@
       member => member.writable && member.term === finalTerm,
     );
     if (!primary) violations.push('no primary');
-    const held = new Set(primary?.log.map(entry => entry.id));
+    const heldIds = new Set(primary?.log.map(entry => entry.id));
     for (const id of this.acknowledged.keys()) {
-      if (!held.has(id)) violations.push(`write ${id} lost`);
+      if (!heldIds.has(id)) violations.push(`write ${id} lost`);
     }
     for (const member of this.members) {
       if (member.term !== finalTerm) violations.push(`${member.name} left out`);
@@ -448,6 +480,7 @@
   return action.row.state === 'claimed' ? 'claim' : 'publish';
 }
 
+/** The event of a call that may have run, but whose answer was lost. */
 function lostAnswer(action: AttemptAction): AttemptEvent {
   if (!('backendServer' in action)) {
     return {kind: 'row-failed', reason: 'unknown-outcome'};
--- a/packages/core/src/failover/__fixtures__/fake_member.ts
+++ b/packages/core/src/failover/__fixtures__/fake_member.ts
@@ -2,13 +2,17 @@
 import type {MemberState} from '../../routing/member_state.js';
 import type {AttemptAction, CallOutcome} from '../attempt.js';
 
+/** A log entry; `id` 0 marks the entry that a promotion adds. */
 interface Entry extends LogPosition {
   readonly id: number;
 }
 
 type Call = Extract<AttemptAction, {backendServer: string}>;
 
-/** The rules of a member of a group, without a network or data. */
+/**
+ * A member of a group that implements the rules of fencing, promotion and
+ * replication, without a network or data.
+ */
 export class FakeMember {
   log: Entry[] = [];
   term = 0;
@@ -25,11 +29,13 @@
     return {role, term, received, applied, fencedTerm, fencedOwner, ...limits};
   }
 
+  /** The end of the log. */
   get received(): LogPosition {
     const {term, position} = this.log.at(-1) ?? {term: 0, position: 0};
     return {term, position};
   }
 
+  /** Whether the member is primary and not fenced at a higher term. */
   get writable(): boolean {
     return this.role === 'primary' && this.fencedTerm <= this.term;
   }
@@ -46,7 +52,7 @@
       : {kind: 'refused'};
   }
 
-  /** Takes over the log of the primary of the same term. */
+  /** Copies the log of the primary of the same term. */
   replicate(primary: FakeMember): void {
     const follows =
       this.role === 'replica' &&
@@ -59,22 +65,22 @@
   private accepts(action: Call): boolean {
     const {term} = action;
     if (action.kind === 'follow') {
-      const leads = this.role === 'primary' && this.term === term;
-      if (term < this.fencedTerm || leads) return false;
+      const isPrimary = this.role === 'primary' && this.term === term;
+      if (term < this.fencedTerm || isPrimary) return false;
       if (term > this.fencedTerm) this.fencedOwner = '';
       this.fencedTerm = term;
       this.role = 'replica';
       this.term = term;
       return true;
     }
-    const own = term === this.fencedTerm && action.owner === this.fencedOwner;
+    const isOwn = term === this.fencedTerm && action.owner === this.fencedOwner;
     if (action.kind === 'fence') {
-      if (term <= this.fencedTerm && !own) return false;
+      if (term <= this.fencedTerm && !isOwn) return false;
       this.fencedTerm = term;
       this.fencedOwner = action.owner;
       return true;
     }
-    if (!own) return false;
+    if (!isOwn) return false;
     if (this.term === term) return this.role === 'primary';
     this.role = 'primary';
     this.term = term;
--- a/packages/core/src/failover/__tests__/fault_matrix.test.ts
+++ b/packages/core/src/failover/__tests__/fault_matrix.test.ts
@@ -22,26 +22,27 @@
 ];
 
 describe('failover under faults', () => {
-  // Guards against a failover that one partition triggers, against one that
-  // never starts, and against a planned move that cuts off a transaction.
+  // Guards against a failover that a single partition triggers, against one
+  // that never starts, and against a switchover that aborts a transaction.
   it.each(SCENARIOS)('%s', scenario => {
     const fleet = new FakeFleet([], SEED, scenario);
     expect(fleet.run()).toMatchSnapshot();
   });
 
-  // Guards against two members that accept writes in one term, a lost write
-  // that a majority held, and an attempt that never ends.
+  // Guards against two members that accept writes in the same term, against the
+  // loss of a write that a majority held, and against an attempt that never
+  // ends.
   it('survives each fault at each step', () => {
     const outcomes = MATRIX.map(fault => {
-      const verdict = new FakeFleet([fault], SEED).run();
-      const {violations, gapMs, finalTerm} = verdict;
+      const runResult = new FakeFleet([fault], SEED).run();
+      const {violations, gapMs, finalTerm} = runResult;
       const result = violations.length === 0 ? 'ok' : violations.join('; ');
       return `${fault.kind} at ${fault.step}: ${result}, term ${finalTerm}, gap ${gapMs} ms`;
     });
     expect(outcomes).toMatchSnapshot();
   });
 
-  // Guards against the same failures when two faults meet.
+  // Guards against the same failures when two faults coincide.
   it('survives pairs of faults', () => {
     const fault = fc.constantFrom(...MATRIX);
     fc.assert(
--- a/packages/core/src/failover/advance_attempt.ts
+++ b/packages/core/src/failover/advance_attempt.ts
@@ -9,20 +9,22 @@
 import {chooseCandidate} from './choose_candidate.js';
 import {
   FENCE_WAIT_MS,
-  PHASE_LIMIT_MS,
-  RESEND_MS,
-  RETRY_MS,
-  STORE_WAIT_MS,
+  PHASE_TIMEOUT_MS,
+  RESEND_DELAY_MS,
+  RETRY_DELAY_MS,
+  STORE_TIMEOUT_MS,
 } from './failover_limits.js';
 
-const ROW = 'row';
+/** Key of the claim row in `Attempt.due`, beside the names of members. */
+const ROW_TARGET = 'row';
 
+/** An attempt after an event, and the calls that are due. */
 export interface AttemptStep {
   readonly attempt: Attempt;
   readonly actions: readonly AttemptAction[];
 }
 
-/** What is known when an attempt starts. */
+/** The fields of an attempt that its start determines. */
 export type AttemptStart = Pick<
   Attempt,
   | 'database'
@@ -35,6 +37,7 @@
   | 'waitedFor'
 >;
 
+/** Starts an attempt; its first action reads the claim row. */
 export function startAttempt(start: AttemptStart, now: number): AttemptStep {
   const attempt: Attempt = {
     ...start,
@@ -52,14 +55,15 @@
   return advanceAttempt(attempt, {kind: 'tick'}, now);
 }
 
+/** Whether an attempt takes no further events. */
 export function isEnded(attempt: Attempt): boolean {
   return attempt.phase === 'done' || attempt.phase === 'abandoned';
 }
 
 /**
- * Takes the next step of an attempt. Calls are repeated until they succeed, as
- * each one has the same effect when it runs again, and an answer counts only
- * in its own term.
+ * Applies an event to an attempt and returns the calls that are due. Calls are
+ * idempotent and are repeated until they succeed. An answer that belongs to
+ * another term is ignored.
  */
 export function advanceAttempt(
   attempt: Attempt,
@@ -67,15 +71,19 @@
   now: number,
 ): AttemptStep {
   if (isEnded(attempt)) return {attempt, actions: []};
-  return dispatch(settle(apply(attempt, event, now), now), now);
+  return emitDueCalls(advancePhases(applyEvent(attempt, event, now), now), now);
 }
 
-/** Ends an attempt that has changed no member yet. */
+/** Ends an attempt before its promotion is confirmed. */
 export function abandon(attempt: Attempt, reason: AbandonReason): Attempt {
   return {...attempt, phase: 'abandoned', abandoned: reason};
 }
 
-function apply(attempt: Attempt, event: AttemptEvent, now: number): Attempt {
+function applyEvent(
+  attempt: Attempt,
+  event: AttemptEvent,
+  now: number,
+): Attempt {
   switch (event.kind) {
     case 'tick':
       return attempt;
@@ -102,11 +110,12 @@
 ): Attempt {
   if (attempt.row !== 'read') return attempt;
   const own = row?.owner === attempt.owner;
-  // The answer to the claim was lost, but the claim took effect.
+  // The claim was written, but the store's answer to it was lost.
   if (own && row.term === attempt.term) {
     return {...attempt, row: 'finished', rowVersion: version};
   }
-  // Another VM has claimed or finished a term that this VM has not seen yet.
+  // Another VM has claimed or finished a term that this VM had not seen, and
+  // has not been given time to finish yet.
   if (
     row &&
     !own &&
@@ -137,8 +146,11 @@
   now: number,
 ): Attempt {
   if (attempt.row === 'finished') return attempt;
-  const due = {[ROW]: reason === 'conflict' ? now : now + RETRY_MS};
-  // Only reading the row back tells whether a write took effect.
+  const due = {
+    [ROW_TARGET]: reason === 'conflict' ? now : now + RETRY_DELAY_MS,
+  };
+  // After a conflict or an unknown outcome, only reading the row shows whether
+  // the write took effect.
   return reason === 'unavailable'
     ? {...attempt, due}
     : {...attempt, due, row: 'read'};
@@ -152,11 +164,11 @@
   const {backendServer: name, outcome, call} = event;
   if (call !== attempt.phase) return attempt;
   if (outcome.kind === 'no-answer') {
-    return {...attempt, due: {...attempt.due, [name]: now + RETRY_MS}};
+    return {...attempt, due: {...attempt.due, [name]: now + RETRY_DELAY_MS}};
   }
   if (outcome.kind === 'refused') {
-    // After the promotion a refused `follow` ends nothing: the member belongs
-    // to a later attempt.
+    // A refused `follow` does not end the attempt, because the promotion has
+    // taken effect: the member belongs to a later attempt.
     return call === 'follow' ? attempt : abandon(attempt, 'superseded');
   }
   switch (call) {
@@ -175,43 +187,44 @@
   }
 }
 
-/** Moves on as long as the present phase is complete or out of time. */
-function settle(attempt: Attempt, now: number): Attempt {
-  const next = settleOnce(attempt, now);
-  return next === attempt ? attempt : settle(next, now);
+/** Enters the next phase as long as the current one is complete or timed out. */
+function advancePhases(attempt: Attempt, now: number): Attempt {
+  const next = advancePhase(attempt, now);
+  return next === attempt ? attempt : advancePhases(next, now);
 }
 
-function settleOnce(attempt: Attempt, now: number): Attempt {
-  const late = now - attempt.phaseSince >= PHASE_LIMIT_MS;
+function advancePhase(attempt: Attempt, now: number): Attempt {
+  const isTimedOut = now - attempt.phaseSince >= PHASE_TIMEOUT_MS;
   const majority = majorityOf(attempt.members.length);
   switch (attempt.phase) {
     case 'claim':
       if (attempt.row === 'finished') return enter(attempt, 'fence', now);
-      if (now - attempt.startedAt < STORE_WAIT_MS) return attempt;
-      // Fencing is exclusive for each term, so the claim may be left out.
+      if (now - attempt.startedAt < STORE_TIMEOUT_MS) return attempt;
+      // Without the store, the attempt continues unclaimed. This is safe,
+      // because in each term only one owner can fence a member.
       return enter(
         {...attempt, term: attempt.term || attempt.seenTerm + 1},
         'fence',
         now,
       );
     case 'fence':
-      return settleFence(attempt, majority, late, now);
+      return advanceFencePhase(attempt, majority, isTimedOut, now);
     case 'choose-candidate': {
       const candidate = chooseCandidate(attempt);
       return enter({...attempt, candidate}, 'promote', now);
     }
     case 'promote':
       if (attempt.promotion === 'done') return enter(attempt, 'follow', now);
-      return late ? abandon(attempt, 'candidate-unreachable') : attempt;
+      return isTimedOut ? abandon(attempt, 'candidate-unreachable') : attempt;
     case 'follow':
-      if (attempt.followed.length + 1 >= majority || late) {
+      if (attempt.followed.length + 1 >= majority || isTimedOut) {
         const row = attempt.row === 'finished' ? 'write' : 'read';
         return enter({...attempt, row}, 'publish', now);
       }
       return attempt;
     case 'publish':
       return attempt.row === 'finished' ||
-        now - attempt.phaseSince >= STORE_WAIT_MS
+        now - attempt.phaseSince >= STORE_TIMEOUT_MS
         ? enter(attempt, 'done', now)
         : attempt;
     case 'done':
@@ -220,35 +233,40 @@
   }
 }
 
-function settleFence(
+/**
+ * Ends the `fence` phase once a majority of the members is fenced and either
+ * all reachable ones are too or `FENCE_WAIT_MS` have passed since.
+ */
+function advanceFencePhase(
   attempt: Attempt,
   majority: number,
-  late: boolean,
+  isTimedOut: boolean,
   now: number,
 ): Attempt {
   if (Object.keys(attempt.fenced).length < majority) {
-    return late ? abandon(attempt, 'no-majority') : attempt;
+    return isTimedOut ? abandon(attempt, 'no-majority') : attempt;
   }
   if (attempt.majorityAt === undefined) {
     return {...attempt, majorityAt: now};
   }
-  const complete = attempt.reachable.every(name => name in attempt.fenced);
-  return complete || now - attempt.majorityAt >= FENCE_WAIT_MS
+  const isComplete = attempt.reachable.every(name => name in attempt.fenced);
+  return isComplete || now - attempt.majorityAt >= FENCE_WAIT_MS
     ? enter(attempt, 'choose-candidate', now)
     : attempt;
 }
 
+/** Enters a phase, in which all calls are due at once. */
 function enter(attempt: Attempt, phase: AttemptPhase, now: number): Attempt {
   return {...attempt, phase, phaseSince: now, due: {}};
 }
 
-/** Emits the calls of the present phase that are due. */
-function dispatch(attempt: Attempt, now: number): AttemptStep {
+/** Emits the calls of the current phase that are due. */
+function emitDueCalls(attempt: Attempt, now: number): AttemptStep {
   const due = {...attempt.due};
   const actions: AttemptAction[] = [];
   for (const [target, action] of pendingCalls(attempt)) {
     if ((due[target] ?? now) > now) continue;
-    due[target] = now + RESEND_MS;
+    due[target] = now + RESEND_DELAY_MS;
     actions.push(action);
   }
   return actions.length === 0
@@ -256,6 +274,7 @@
     : {attempt: {...attempt, due}, actions};
 }
 
+/** Returns the calls of the current phase that have not succeeded, by target. */
 function pendingCalls(
   attempt: Attempt,
 ): ReadonlyArray<readonly [string, AttemptAction]> {
@@ -302,9 +321,9 @@
   attempt: Attempt,
 ): ReadonlyArray<readonly [string, AttemptAction]> {
   if (attempt.row === 'finished') return [];
-  if (attempt.row === 'read') return [[ROW, {kind: 'read-row'}]];
+  if (attempt.row === 'read') return [[ROW_TARGET, {kind: 'read-row'}]];
   const {term, owner, candidate = '', rowVersion} = attempt;
   const state = attempt.phase === 'claim' ? 'claimed' : 'done';
   const row = {term, owner, state, primary: candidate} as const;
-  return [[ROW, {kind: 'write-row', row, expected: rowVersion}]];
+  return [[ROW_TARGET, {kind: 'write-row', row, expected: rowVersion}]];
 }
--- a/packages/core/src/failover/agreement.ts
+++ b/packages/core/src/failover/agreement.ts
@@ -1,44 +1,44 @@
 import {rendezvousOrder} from '../common/rendezvous.js';
-import type {FailoverReport, HeardReport} from './failover_report.js';
-import type {HeardReports} from './failover_report.js';
+import type {FailoverReport, ReceivedReport} from './failover_report.js';
+import type {ReceivedReports} from './failover_report.js';
 import {REPORT_LIFETIME_MS} from './failover_limits.js';
 
-/** The reports of one kind about one term that still count. */
-export function reportsOf(
-  reports: HeardReports,
+/** Returns the reports of one kind about one term that have not expired. */
+export function unexpiredReports(
+  reports: ReceivedReports,
   kind: FailoverReport['kind'],
   term: number,
   now: number,
-): HeardReport[] {
+): ReceivedReport[] {
   return Object.values(reports).filter(
-    ({report, heardAt}) =>
+    ({report, receivedAt}) =>
       report.kind === kind &&
       report.term === term &&
-      heardAt + REPORT_LIFETIME_MS > now,
+      receivedAt + REPORT_LIFETIME_MS > now,
   );
 }
 
 /**
- * Returns since when VMs of `needed` data centres agree, or undefined when they
- * do not. A partition between one data centre and the primary therefore never
- * suffices where there are several.
+ * Returns the time since which VMs of at least `needed` data centres agree, or
+ * undefined if fewer do. With several data centres, a partition between one of
+ * them and the primary is therefore never enough for a failover.
  */
 export function agreedSince(
-  reports: readonly HeardReport[],
+  reports: readonly ReceivedReport[],
   needed: number,
 ): number | undefined {
   const earliest = new Map<string, number>();
   for (const {report, since} of reports) {
-    const known = earliest.get(report.dataCentre) ?? since;
-    earliest.set(report.dataCentre, Math.min(known, since));
+    const earlier = earliest.get(report.dataCentre) ?? since;
+    earliest.set(report.dataCentre, Math.min(earlier, since));
   }
   return [...earliest.values()].sort((a, b) => a - b)[needed - 1];
 }
 
-/** The place of a VM among those that report, 0 for the first. */
-export function rankOf(
+/** Returns the rank of a VM among the VMs that report, 0 for the first. */
+export function rankAmongReporters(
   vm: string,
-  reports: readonly HeardReport[],
+  reports: readonly ReceivedReport[],
   key: string,
 ): number {
   const vms = new Set([vm, ...reports.map(({report}) => report.vm)]);
--- a/packages/core/src/failover/attempt.ts
+++ b/packages/core/src/failover/attempt.ts
@@ -1,5 +1,6 @@
 import type {LogPosition} from '../session/log_position.js';
 
+/** The phases of an attempt in order; it ends as `done` or `abandoned`. */
 export type AttemptPhase =
   | 'claim'
   | 'fence'
@@ -10,78 +11,100 @@
   | 'done'
   | 'abandoned';
 
+/** Why an attempt starts: a failover or a switchover. */
 export type AttemptReason = 'suspicion' | 'planned-move';
 
+/** Why an attempt ended before its promotion was confirmed. */
 export type AbandonReason =
+  /** Another VM claimed or finished a term that this VM had not seen. */
   | 'claimed-by-other'
+  /** The group became healthy before the attempt had set a fence. */
   | 'recovered'
+  /** This VM was paused before the attempt had set a fence. */
   | 'paused'
+  /** A member is fenced at a higher term or by another owner. */
   | 'superseded'
+  /** No majority of the members was fenced in time. */
   | 'no-majority'
+  /** The candidate was not promoted in time. */
   | 'candidate-unreachable';
 
-/** Whether a member may be primary by the operators' document. */
+/** Whether the operators' configuration allows a member to be primary. */
 export type Standing = 'allowed' | 'leaving';
 
+/** A member of the group, as the configuration lists it. */
 export interface AttemptMember {
   readonly backendServer: string;
+  /** Where the other members replicate from when it is primary. */
   readonly address: string;
   readonly standing: Standing;
 }
 
-/** The value of the row that serialises and records attempts. */
+/** The value of the store's row that serialises and records attempts. */
 export interface ClaimRow {
   readonly term: number;
+  /** The owner of the attempt, as in `Attempt.owner`. */
   readonly owner: string;
   readonly state: 'claimed' | 'done';
-  /** Name of the primary of a finished attempt. */
+  /** Name of the primary of a finished attempt, otherwise empty. */
   readonly primary: string;
 }
 
-/** The next access to the row. */
+/** The next access to the claim row, or that none is left in this phase. */
 export type RowStep = 'read' | 'write' | 'finished';
 
 /** One VM's attempt to replace the primary of a group in one term. */
 export interface Attempt {
   readonly database: string;
-  /** Unique for each start of a VM. */
+  /** Identifies a run of a VM: it differs after a restart. */
   readonly owner: string;
   readonly reason: AttemptReason;
   readonly phase: AttemptPhase;
   readonly abandoned?: AbandonReason;
-  /** 0 until the claim step has chosen one. */
+  /** 0 until the `claim` phase has chosen a term. */
   readonly term: number;
-  /** The highest term known when the attempt started. */
+  /** The highest term that this VM had seen when the attempt started. */
   readonly seenTerm: number;
   readonly startedAt: number;
   readonly phaseSince: number;
   readonly members: readonly AttemptMember[];
+  /** The primary that is replaced; empty if the group had none. */
   readonly formerPrimary: string;
-  /** Members that answered the last poll before the attempt. */
+  /** The members that answered the last poll before the attempt. */
   readonly reachable: readonly string[];
   readonly row: RowStep;
+  /** The version of the claim row that was last read or written. */
   readonly rowVersion: number;
   /** Version of another VM's claim that was given time to finish. */
   readonly waitedFor: number;
+  /** The end of the log of each fenced member, by name of the member. */
   readonly fenced: Readonly<Record<string, LogPosition>>;
+  /** When a majority of the members was fenced. */
   readonly majorityAt?: number;
-  /** One for each term: it never changes within an attempt. */
+  /**
+   * The member to promote. It never changes within an attempt, so that a term
+   * has at most one candidate.
+   */
   readonly candidate?: string;
   readonly promotion: 'pending' | 'done';
+  /** The members that have confirmed that they follow the candidate. */
   readonly followed: readonly string[];
-  /** When each call of the present phase is due again. */
+  /** When each call of the current phase is next sent, by target. */
   readonly due: Readonly<Record<string, number>>;
 }
 
 /** How a member answered a call. */
 export type CallOutcome =
+  /** The call took effect; `received` is the end of the member's log. */
   | {readonly kind: 'done'; readonly received: LogPosition}
   /** The member is fenced at a higher term or by another owner. */
   | {readonly kind: 'refused'}
   | {readonly kind: 'no-answer'};
 
+/** A call to a member; each has the same effect when it is repeated. */
 export type MemberCall = 'fence' | 'promote' | 'follow';
 
+/** An input of an attempt. */
 export type AttemptEvent =
   | {readonly kind: 'tick'}
   | {
@@ -90,6 +113,7 @@
       readonly version: number;
     }
   | {readonly kind: 'row-written'; readonly version: number}
+  /** An access to the claim row failed, or its outcome is unknown. */
   | {
       readonly kind: 'row-failed';
       readonly reason: 'conflict' | 'unavailable' | 'unknown-outcome';
@@ -102,11 +126,13 @@
       readonly outcome: CallOutcome;
     };
 
+/** A call to the store or to a member that an attempt requires. */
 export type AttemptAction =
   | {readonly kind: 'read-row'}
   | {
       readonly kind: 'write-row';
       readonly row: ClaimRow;
+      /** The version that the row must still have. */
       readonly expected: number;
     }
   | {
--- a/packages/core/src/failover/choose_candidate.ts
+++ b/packages/core/src/failover/choose_candidate.ts
@@ -2,11 +2,13 @@
 import type {Attempt} from './attempt.js';
 
 /**
- * Returns the fenced member with the highest log position. Any fenced majority
- * contains a holder of each acknowledged write, so no other member is safe.
- * Among equals an allowed one comes first, then one that answered the last
- * poll, then the former primary. A member that only the calls of this VM reach
- * would be suspected again.
+ * Returns the fenced member with the highest log position. Every acknowledged
+ * write is held by some member of any fenced majority, so this member holds
+ * all of them; any other one might lack some.
+ *
+ * Among members with equal logs, one that may be primary comes first, then one
+ * that answered the last poll, then the former primary. A member that answers
+ * only the calls of this attempt would be suspected again.
  */
 export function chooseCandidate(attempt: Attempt): string | undefined {
   const {fenced, members, formerPrimary, reachable} = attempt;
@@ -19,8 +21,8 @@
     );
   };
   const [best] = Object.entries(fenced).sort(
-    ([nameA, endA], [nameB, endB]) =>
-      compareLogPosition(endB, endA) ||
+    ([nameA, positionA], [nameB, positionB]) =>
+      compareLogPosition(positionB, positionA) ||
       preference(nameB) - preference(nameA) ||
       (nameA < nameB ? -1 : 1),
   );
--- a/packages/core/src/failover/decide_failover.ts
+++ b/packages/core/src/failover/decide_failover.ts
@@ -6,33 +6,40 @@
   isEnded,
   startAttempt,
 } from './advance_attempt.js';
-import {agreedSince, rankOf, reportsOf} from './agreement.js';
+import {
+  agreedSince,
+  rankAmongReporters,
+  unexpiredReports,
+} from './agreement.js';
 import {assessGroup} from './assess_group.js';
 import type {Assessment} from './assess_group.js';
 import type {Attempt, AttemptEvent, AttemptReason} from './attempt.js';
 import {
   BACKOFF_MAX_MS,
   BACKOFF_MIN_MS,
-  PAUSE_MS,
+  PAUSE_THRESHOLD_MS,
   RANK_DELAY_MS,
-  REPAIR_INTERVAL_MS,
+  FOLLOW_ORDER_INTERVAL_MS,
   REPORT_INTERVAL_MS,
-  SUSPECT_MS,
-  TAKEOVER_MS,
+  MIN_SUSPICION_MS,
+  TAKEOVER_DELAY_MS,
 } from './failover_limits.js';
-import type {FailoverReport, HeardReport} from './failover_report.js';
+import type {FailoverReport, ReceivedReport} from './failover_report.js';
 import type {
   FailoverAction,
   FailoverMessage,
   FailoverState,
   FailoverStep,
 } from './failover_state.js';
-import {findUnledMembers} from './find_unled_members.js';
-import {decideMove} from './planned_move.js';
+import {findOutdatedMembers} from './find_unled_members.js';
+import {decideSwitchover} from './planned_move.js';
 
-type Observed = Extract<FailoverMessage, {kind: 'observed'}>;
+type Observation = Extract<FailoverMessage, {kind: 'observed'}>;
 
-/** Decides what one VM does about the primary of one group. */
+/**
+ * Decides what one VM does about the primary of one group when it receives a
+ * message. Timeouts are checked with each observation.
+ */
 export function decideFailover(
   state: FailoverState,
   message: FailoverMessage,
@@ -45,82 +52,95 @@
       return {state: {...state, members, dataCentresInService}, actions: []};
     }
     case 'reported':
-      return {state: hear(state, message.report, now), actions: []};
+      return {state: recordReport(state, message.report, now), actions: []};
     case 'progress':
       return state.attempt
-        ? progress(state, state.attempt, message.event, random, now)
+        ? advance(state, state.attempt, message.event, random, now)
         : {state, actions: []};
     case 'observed':
-      return observe(state, message, random, now);
+      return handleObservation(state, message, random, now);
   }
 }
 
-function hear(
+/**
+ * Records a report. A report that repeats the kind and term of the previous one
+ * keeps the earliest start of the reported condition.
+ */
+function recordReport(
   state: FailoverState,
   report: FailoverReport,
   now: number,
 ): FailoverState {
-  const known = state.reports[report.vm];
+  const previous = state.reports[report.vm];
   const since = now - report.forMs;
-  const same =
-    known?.report.kind === report.kind && known.report.term === report.term;
-  const heard: HeardReport = {
+  const continues =
+    previous?.report.kind === report.kind &&
+    previous.report.term === report.term;
+  const received: ReceivedReport = {
     report,
-    since: same ? Math.min(known.since, since) : since,
-    heardAt: now,
+    since: continues ? Math.min(previous.since, since) : since,
+    receivedAt: now,
   };
-  return {...state, reports: {...state.reports, [report.vm]: heard}};
+  return {...state, reports: {...state.reports, [report.vm]: received}};
 }
 
-function observe(
+function handleObservation(
   before: FailoverState,
-  seen: Observed,
+  observation: Observation,
   random: Random,
   now: number,
 ): FailoverStep {
-  const {view} = seen;
+  const {view} = observation;
   const actions: FailoverAction[] = [];
   const assessment = assessGroup(view);
-  const resumed = afterPause(before, random, now);
+  const resumed = discardAfterPause(before, random, now);
   actions.push(...resumed.actions);
-  let state = noteFences(resumed.state, view, now);
-  state = reportOwn(state, assessment, seen, now, actions);
+  let state = recordFences(resumed.state, view, now);
+  state = updateOwnReport(state, assessment, observation, now, actions);
   if (state.attempt) {
-    const step = supervise(state, state.attempt, assessment, random, now);
+    const step = continueAttempt(state, state.attempt, assessment, random, now);
     return {state: step.state, actions: [...actions, ...step.actions]};
   }
   const reason = reasonToStart(state, view, assessment, now);
   if (reason && now >= state.notBefore) {
-    const step = start(state, view, reason, random, now);
+    const step = startNewAttempt(state, view, reason, random, now);
     return {state: step.state, actions: [...actions, ...step.actions]};
   }
   if (assessment.kind === 'healthy') {
-    state = order(state, view, assessment.primary, now, actions);
+    state = orderToFollow(state, view, assessment.primary, now, actions);
   }
   return {state, actions};
 }
 
 /**
- * Forgets what was true before a pause of this VM, so that it does not start
- * an attempt from an old view. An attempt that has set fences goes on, because
- * the members check its term.
+ * Discards the reports after a pause of this VM, so that it does not start an
+ * attempt from an outdated view. An attempt in the `claim` phase is abandoned.
+ * One that may have set fences continues, because the members check its term.
  */
-function afterPause(
+function discardAfterPause(
   state: FailoverState,
   random: Random,
   now: number,
 ): FailoverStep {
-  const paused = now - state.observedAt > PAUSE_MS;
+  const paused = now - state.observedAt > PAUSE_THRESHOLD_MS;
   const current = {...state, observedAt: now};
   if (!paused) return {state: current, actions: []};
-  const fresh = {...current, reports: {}};
+  const withoutReports = {...current, reports: {}};
   return state.attempt?.phase === 'claim'
-    ? keep(fresh, abandon(state.attempt, 'paused'), random, now)
-    : {state: fresh, actions: []};
+    ? storeAttempt(
+        withoutReports,
+        abandon(state.attempt, 'paused'),
+        random,
+        now,
+      )
+    : {state: withoutReports, actions: []};
 }
 
-/** Gives another VM's attempt time after each fence that it sets. */
-function noteFences(
+/**
+ * Delays this VM's next attempt whenever another VM sets a fence, so that the
+ * other attempt can finish.
+ */
+function recordFences(
   state: FailoverState,
   view: GroupView,
   now: number,
@@ -130,81 +150,99 @@
     if (!member || member.fencedTerm <= highestFence) continue;
     highestFence = member.fencedTerm;
     if (member.fencedOwner !== state.owner) {
-      notBefore = Math.max(notBefore, now + TAKEOVER_MS);
+      notBefore = Math.max(notBefore, now + TAKEOVER_DELAY_MS);
     }
   }
   return {...state, highestFence, notBefore};
 }
 
-/** Records this VM's own report and sends it at intervals. */
-function reportOwn(
+/**
+ * Records this VM's own report, and sends it at intervals and when its kind or
+ * term changes.
+ */
+function updateOwnReport(
   state: FailoverState,
   assessment: Assessment,
-  seen: Observed,
+  observation: Observation,
   now: number,
   actions: FailoverAction[],
 ): FailoverState {
-  const known = state.reports[state.vm];
-  const kind = ownReportKind(state, assessment, seen, now);
-  if (kind === 'clear' && (!known || known.report.kind === 'clear')) {
+  const previous = state.reports[state.vm];
+  const kind = ownReportKind(state, assessment, observation, now);
+  if (kind === 'clear' && (!previous || previous.report.kind === 'clear')) {
     return state;
   }
-  const same =
-    known?.report.kind === kind && known.report.term === assessment.term;
+  const continues =
+    previous?.report.kind === kind && previous.report.term === assessment.term;
   const report: FailoverReport = {
     kind,
     database: state.database,
     vm: state.vm,
     dataCentre: state.dataCentre,
     term: assessment.term,
-    forMs: same ? now - known.since : 0,
-    running: kind === 'busy' ? seen.transactions : seen.running,
+    forMs: continues ? now - previous.since : 0,
+    running: kind === 'busy' ? observation.transactions : observation.running,
   };
-  const heard = hear(state, report, now);
-  if (same && now - state.reportedAt < REPORT_INTERVAL_MS) return heard;
+  const recorded = recordReport(state, report, now);
+  if (continues && now - state.reportedAt < REPORT_INTERVAL_MS) return recorded;
   actions.push({kind: 'report', report});
-  return {...heard, reportedAt: now};
+  return {...recorded, reportedAt: now};
 }
 
 function ownReportKind(
   state: FailoverState,
   assessment: Assessment,
-  seen: Observed,
+  observation: Observation,
   now: number,
 ): FailoverReport['kind'] {
   if (assessment.kind === 'suspect') return 'suspect';
-  if (assessment.kind === 'blind') return 'clear';
+  if (assessment.kind === 'majority-unreachable') return 'clear';
   const {backendServer} = assessment.primary;
   const leaving = state.members.some(
     m => m.backendServer === backendServer && m.standing === 'leaving',
   );
   if (leaving) return 'move';
-  const moves = reportsOf(state.reports, 'move', assessment.term, now);
-  const heard = moves.some(({report}) => report.vm !== state.vm);
-  return heard && seen.transactions > 0 ? 'busy' : 'clear';
+  const moveReports = unexpiredReports(
+    state.reports,
+    'move',
+    assessment.term,
+    now,
+  );
+  const othersReport = moveReports.some(({report}) => report.vm !== state.vm);
+  return othersReport && observation.transactions > 0 ? 'busy' : 'clear';
 }
 
+/**
+ * Returns why this VM starts an attempt now, or undefined if it does not. VMs
+ * start one after the other in the order of their ranks, and a suspicion must
+ * have lasted for `MIN_SUSPICION_MS`.
+ */
 function reasonToStart(
   state: FailoverState,
   view: GroupView,
   assessment: Assessment,
   now: number,
 ): AttemptReason | undefined {
-  if (assessment.kind === 'blind') return undefined;
+  if (assessment.kind === 'majority-unreachable') return undefined;
   const kind = assessment.kind === 'suspect' ? 'suspect' : 'move';
   const own = state.reports[state.vm];
   if (own?.report.kind !== kind) return undefined;
-  const reports = reportsOf(state.reports, kind, assessment.term, now);
+  const reports = unexpiredReports(state.reports, kind, assessment.term, now);
   const key = `${state.database}/${assessment.term}`;
-  const delayMs = rankOf(state.vm, reports, key) * RANK_DELAY_MS;
+  const delayMs = rankAmongReporters(state.vm, reports, key) * RANK_DELAY_MS;
   if (assessment.kind === 'healthy') {
     const waitedMs = now - own.since - delayMs;
-    const late = reportsOf(state.reports, 'busy', assessment.term, now);
-    const decision = decideMove(
+    const busyReports = unexpiredReports(
+      state.reports,
+      'busy',
+      assessment.term,
+      now,
+    );
+    const decision = decideSwitchover(
       view,
       assessment.primary,
       state.members,
-      [...reports, ...late],
+      [...reports, ...busyReports],
       waitedMs,
       state.moveGraceMs,
     );
@@ -218,19 +256,19 @@
       : agreed === undefined
         ? undefined
         : Math.max(agreed, own.since);
-  return since !== undefined && now >= since + SUSPECT_MS + delayMs
+  return since !== undefined && now >= since + MIN_SUSPICION_MS + delayMs
     ? 'suspicion'
     : undefined;
 }
 
-function start(
+function startNewAttempt(
   state: FailoverState,
   view: GroupView,
   reason: AttemptReason,
   random: Random,
   now: number,
 ): FailoverStep {
-  const seen = view.members.flatMap(m =>
+  const seenTerms = view.members.flatMap(m =>
     m.state ? [m.state.term, m.state.fencedTerm] : [],
   );
   const {term} = assessGroup(view);
@@ -242,7 +280,7 @@
       database: state.database,
       owner: state.owner,
       reason,
-      seenTerm: Math.max(state.highestOwnTerm, ...seen),
+      seenTerm: Math.max(state.highestOwnTerm, ...seenTerms),
       members: state.members,
       formerPrimary: primary?.backendServer ?? '',
       reachable: view.members
@@ -252,15 +290,18 @@
     },
     now,
   );
-  const step = keep(state, attempt, random, now);
+  const step = storeAttempt(state, attempt, random, now);
   return {
     state: step.state,
     actions: [{kind: 'started', attempt}, ...actions, ...step.actions],
   };
 }
 
-/** Continues an attempt, or ends it when the group recovered before it acted. */
-function supervise(
+/**
+ * Continues an attempt, or abandons a failover in the `claim` phase when the
+ * group is healthy again.
+ */
+function continueAttempt(
   state: FailoverState,
   attempt: Attempt,
   assessment: Assessment,
@@ -272,11 +313,11 @@
     attempt.phase === 'claim' &&
     attempt.reason === 'suspicion';
   return recovered
-    ? keep(state, abandon(attempt, 'recovered'), random, now)
-    : progress(state, attempt, {kind: 'tick'}, random, now);
+    ? storeAttempt(state, abandon(attempt, 'recovered'), random, now)
+    : advance(state, attempt, {kind: 'tick'}, random, now);
 }
 
-function progress(
+function advance(
   state: FailoverState,
   attempt: Attempt,
   event: AttemptEvent,
@@ -284,12 +325,15 @@
   now: number,
 ): FailoverStep {
   const step = advanceAttempt(attempt, event, now);
-  const kept = keep(state, step.attempt, random, now);
-  return {state: kept.state, actions: [...step.actions, ...kept.actions]};
+  const stored = storeAttempt(state, step.attempt, random, now);
+  return {state: stored.state, actions: [...step.actions, ...stored.actions]};
 }
 
-/** Stores an attempt, or what is to be remembered of one that ended. */
-function keep(
+/**
+ * Stores an attempt. One that has ended is removed, and its term, the earliest
+ * time of the next attempt and the version of another VM's claim are kept.
+ */
+function storeAttempt(
   state: FailoverState,
   attempt: Attempt,
   random: Random,
@@ -299,10 +343,10 @@
   if (!isEnded(attempt)) {
     return {state: {...state, highestOwnTerm, attempt}, actions: []};
   }
-  const claimed = attempt.abandoned === 'claimed-by-other';
+  const claimedByOther = attempt.abandoned === 'claimed-by-other';
   const pauseMs =
-    claimed || attempt.phase === 'done'
-      ? TAKEOVER_MS
+    claimedByOther || attempt.phase === 'done'
+      ? TAKEOVER_DELAY_MS
       : random.integer(BACKOFF_MIN_MS, BACKOFF_MAX_MS);
   return {
     state: {
@@ -310,13 +354,14 @@
       highestOwnTerm,
       attempt: undefined,
       notBefore: Math.max(state.notBefore, now + pauseMs),
-      waitedFor: claimed ? attempt.rowVersion : state.waitedFor,
+      waitedFor: claimedByOther ? attempt.rowVersion : state.waitedFor,
     },
     actions: [{kind: 'ended', attempt}],
   };
 }
 
-function order(
+/** Orders members in an older term to follow the primary, at intervals. */
+function orderToFollow(
   state: FailoverState,
   view: GroupView,
   primary: MemberView,
@@ -328,12 +373,12 @@
     member => member.backendServer === primary.backendServer,
   )?.address;
   if (address === undefined) return state;
-  const ordered = {...state.ordered};
-  for (const {backendServer} of findUnledMembers(view, primary)) {
-    const last = ordered[backendServer] ?? -Infinity;
-    if (now - last < REPAIR_INTERVAL_MS) continue;
-    ordered[backendServer] = now;
+  const orderedAt = {...state.ordered};
+  for (const {backendServer} of findOutdatedMembers(view, primary)) {
+    const last = orderedAt[backendServer] ?? -Infinity;
+    if (now - last < FOLLOW_ORDER_INTERVAL_MS) continue;
+    orderedAt[backendServer] = now;
     actions.push({kind: 'follow', backendServer, term, primary: address});
   }
-  return {...state, ordered};
+  return {...state, ordered: orderedAt};
 }
--- a/packages/core/src/failover/failover_limits.ts
+++ b/packages/core/src/failover/failover_limits.ts
@@ -1,47 +1,59 @@
-/** How long suspicion must last before an attempt starts. */
-export const SUSPECT_MS = 1_500;
+/** How long a suspicion must last before an attempt starts. */
+export const MIN_SUSPICION_MS = 1_500;
 
-/** Delay between the attempts of VMs that follow each other in rank. */
+/** Start delay of an attempt for each VM that ranks before this one. */
 export const RANK_DELAY_MS = 400;
 
-/** How long an attempt waits for the table service before it goes on. */
-export const STORE_WAIT_MS = 500;
+/**
+ * How long an attempt waits for the table service before it continues without
+ * it.
+ */
+export const STORE_TIMEOUT_MS = 500;
 
-/** How long a member is given within one phase of an attempt. */
-export const PHASE_LIMIT_MS = 2_500;
+/** How long one phase of an attempt waits for the members. */
+export const PHASE_TIMEOUT_MS = 2_500;
 
-/** How long a fenced majority waits for the other reachable members. */
+/**
+ * How long an attempt waits for the other reachable members once a majority is
+ * fenced.
+ */
 export const FENCE_WAIT_MS = 100;
 
-/** Time to the next try after a call that gave no answer. */
-export const RETRY_MS = 200;
+/** Delay before a call that failed without an answer is repeated. */
+export const RETRY_DELAY_MS = 200;
 
-/** Time to the next try of a call that neither succeeded nor failed. */
-export const RESEND_MS = 1_000;
+/** Delay before a call whose result is still outstanding is repeated. */
+export const RESEND_DELAY_MS = 1_000;
 
-/** How long another VM's attempt may show no progress before a takeover. */
-export const TAKEOVER_MS = 1_000;
+/**
+ * How long another VM's attempt may make no progress before this VM starts its
+ * own.
+ */
+export const TAKEOVER_DELAY_MS = 1_000;
 
-/** Bounds of the random pause after an abandoned attempt. */
+/** Bounds of the random delay after an abandoned attempt. */
 export const BACKOFF_MIN_MS = 100;
 export const BACKOFF_MAX_MS = 700;
 
-/** A longer time between two observations means that the VM was paused. */
-export const PAUSE_MS = 1_000;
+/** A longer interval between two observations means that the VM was paused. */
+export const PAUSE_THRESHOLD_MS = 1_000;
 
-/** Time between two reports of a VM. */
+/**
+ * Interval between two reports of a VM. A report with another kind or term is
+ * sent at once.
+ */
 export const REPORT_INTERVAL_MS = 250;
 
-/** How long a report of another VM counts. */
+/** Age at which a report that was not repeated expires. */
 export const REPORT_LIFETIME_MS = 2_000;
 
-/** Time between two orders to the same member to follow the primary. */
-export const REPAIR_INTERVAL_MS = 1_000;
+/** Interval between two orders to one member to follow the primary. */
+export const FOLLOW_ORDER_INTERVAL_MS = 1_000;
 
 /**
- * Time from the configuration that makes a primary leave until a VM holds new
- * writes and the move may start. The other VMs, which poll the configuration
- * every second, have applied it by then, so that writes wait for each other's
- * end only and not for the configuration.
+ * Time from the configuration that makes a primary leave until a VM holds back
+ * new writes and the switchover may start. The other VMs poll the configuration
+ * every second and have applied it by then. Writes are therefore held only
+ * until the running ones end, not until the configuration has spread.
  */
 export const MOVE_SETTLE_MS = 1_500;
--- a/packages/core/src/failover/failover_report.ts
+++ b/packages/core/src/failover/failover_report.ts
@@ -1,4 +1,4 @@
-/** The kinds of reports, in a list so that the wire schema has the same ones. */
+/** The kinds of reports; the wire schema is built from the same list. */
 export const FAILOVER_REPORT_KINDS = [
   'suspect',
   'move',
@@ -7,35 +7,39 @@
 ] as const;
 
 /**
- * What a VM tells the others about a group. Ages are used in place of times,
- * because the clocks of VMs are not compared.
+ * A VM's report to the other VMs about a group. It carries ages and no points
+ * in time, because the clocks of the VMs are not synchronised.
  */
 export interface FailoverReport {
   /**
-   * `suspect`: the group has no primary for this VM. `move`: the primary has
-   * to leave. `busy`: another VM reports `move`, and this VM, which does not
-   * have that configuration yet, has transactions open on the primary.
-   * `clear`: none of these holds any longer.
+   * - `suspect`: this VM finds no primary that can serve writes.
+   * - `move`: the configuration requires the primary to leave.
+   * - `busy`: another VM reports `move`, and this VM, which does not have that
+   *   configuration yet, has transactions open on the primary.
+   * - `clear`: none of these holds any longer.
    */
   readonly kind: (typeof FAILOVER_REPORT_KINDS)[number];
   readonly database: string;
   readonly vm: string;
   readonly dataCentre: string;
-  /** The highest term in which the VM knows members to operate. */
+  /** The highest term that a member reported to the VM. */
   readonly term: number;
+  /** How long the report has applied, in milliseconds. */
   readonly forMs: number;
   /**
-   * Connections of this VM to the primary that are in use, and one more while
-   * it still sends new writes. With `busy`, its open transactions.
+   * Connections of this VM to the primary that are in use, plus one while the
+   * VM still sends new writes. In a `busy` report, its open transactions.
    */
   readonly running: number;
 }
 
-/** A report with the local time from which it holds. */
-export interface HeardReport {
+/** A report with times on the clock of the VM that received it. */
+export interface ReceivedReport {
   readonly report: FailoverReport;
+  /** When the reported condition began. */
   readonly since: number;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
-export type HeardReports = Readonly<Record<string, HeardReport>>;
+/** The last report of each VM, by name of the VM. */
+export type ReceivedReports = Readonly<Record<string, ReceivedReport>>;
--- a/packages/core/src/failover/failover_state.ts
+++ b/packages/core/src/failover/failover_state.ts
@@ -5,63 +5,85 @@
   AttemptEvent,
   AttemptMember,
 } from './attempt.js';
-import type {FailoverReport, HeardReports} from './failover_report.js';
+import type {FailoverReport, ReceivedReports} from './failover_report.js';
 
-/** What one VM knows and does about the primary of one group. */
+/**
+ * One VM's state of the failover of one group. All times are readings of this
+ * VM's clock in milliseconds.
+ */
 export interface FailoverState {
   readonly database: string;
   readonly vm: string;
   readonly dataCentre: string;
+  /** Identifies this run of the VM in fences and in the claim row. */
   readonly owner: string;
   readonly members: readonly AttemptMember[];
   readonly dataCentresInService: number;
   /**
-   * How long a planned move waits for what runs on the primary, the time after
-   * which a VM ends an idle transaction.
+   * How long a switchover waits for the statements and transactions that run on
+   * the primary. It equals the time after which a VM ends an idle transaction.
    */
   readonly moveGraceMs: number;
-  /** The last report of each VM, this one included. */
-  readonly reports: HeardReports;
+  /** The last report of each VM, this one included, by name of the VM. */
+  readonly reports: ReceivedReports;
+  /** When this VM last sent its own report. */
   readonly reportedAt: number;
+  /** When this VM last handled an observation of the group. */
   readonly observedAt: number;
-  /** No attempt starts before, so that another one can finish. */
+  /** No attempt starts before this time, so that another one can finish. */
   readonly notBefore: number;
+  /** The highest term at which any member was seen fenced. */
   readonly highestFence: number;
+  /** The highest term that an attempt of this VM has used. */
   readonly highestOwnTerm: number;
+  /**
+   * Version of another VM's claim that this VM has already given time to
+   * finish; 0 if there is none.
+   */
   readonly waitedFor: number;
-  /** When each member was last ordered to follow. */
+  /** When each member was last ordered to follow, by name of the member. */
   readonly ordered: Readonly<Record<string, number>>;
+  /** The attempt of this VM that is in progress. */
   readonly attempt?: Attempt;
 }
 
+/** An input of the failover decisions. */
 export type FailoverMessage =
+  /** A configuration took effect. */
   | {
       readonly kind: 'configured';
       readonly members: readonly AttemptMember[];
       readonly dataCentresInService: number;
     }
+  /** The members of the group were polled. */
   | {
       readonly kind: 'observed';
       readonly view: GroupView;
-      /** What this VM runs on the primary, as in its report. */
+      /** The load of this VM on the primary, as in `FailoverReport.running`. */
       readonly running: number;
-      /** The transactions among them. */
+      /** The number of open transactions in `running`. */
       readonly transactions: number;
     }
+  /** Another VM's report arrived. */
   | {readonly kind: 'reported'; readonly report: FailoverReport}
+  /** A call of the attempt in progress ended. */
   | {readonly kind: 'progress'; readonly event: AttemptEvent};
 
+/** An effect that the failover task carries out. */
 export type FailoverAction =
   | AttemptAction
+  /** Sends this VM's report to the other VMs. */
   | {readonly kind: 'report'; readonly report: FailoverReport}
   | {readonly kind: 'started'; readonly attempt: Attempt}
   | {readonly kind: 'ended'; readonly attempt: Attempt};
 
+/** The result of one decision. */
 export interface FailoverStep {
   readonly state: FailoverState;
   readonly actions: readonly FailoverAction[];
 }
 
+/** Returns the state before the first configuration and observation. */
 export function initialFailoverState(
   identity: Pick<
     FailoverState,
--- a/packages/core/src/failover/find_unled_members.ts
+++ b/packages/core/src/failover/find_unled_members.ts
@@ -2,10 +2,11 @@
 
 /**
  * Returns the reachable members that operate in an older term than the
- * primary, such as a former primary that came back. Ordering them to follow is
- * safe for any VM: the primary itself reported its term.
+ * primary, such as a former primary that came back. Any VM may order them to
+ * follow the primary without coordination, because the primary itself reported
+ * its term.
  */
-export function findUnledMembers(
+export function findOutdatedMembers(
   view: GroupView,
   primary: MemberView,
 ): MemberView[] {
--- a/packages/core/src/failover/index.ts
+++ b/packages/core/src/failover/index.ts
@@ -1,4 +1,7 @@
-/** Decisions about suspicion, failover attempts and planned moves. */
+/**
+ * Decides on behalf of one VM when a group gets another primary: suspicion,
+ * failover attempts and switchovers. Nothing in this folder does any I/O.
+ */
 export type {
   Attempt,
   AttemptAction,
--- a/packages/core/src/failover/planned_move.ts
+++ b/packages/core/src/failover/planned_move.ts
@@ -2,36 +2,42 @@
 import type {GroupView, MemberView} from '../routing/group_view.js';
 import type {AttemptMember} from './attempt.js';
 import {MOVE_SETTLE_MS} from './failover_limits.js';
-import type {HeardReport} from './failover_report.js';
+import type {ReceivedReport} from './failover_report.js';
 
-export type MoveDecision = 'none' | 'wait' | 'ready';
+/**
+ * Whether a switchover is needed and may start. `none`: the primary may stay, or
+ * no reachable member may take over.
+ */
+export type SwitchoverDecision = 'none' | 'wait' | 'ready';
 
 /**
- * Decides on the move of a healthy primary that has to leave. It waits until
- * the VMs hold new writes, the running ones have ended and an allowed member
- * holds the whole log. It waits at most `graceMs` for what runs.
+ * Decides whether a healthy primary that has to leave can be replaced now. The
+ * switchover waits until the VMs hold back new writes, the running ones have
+ * ended and a member that may be primary holds the whole log. It waits at most
+ * `graceMs` for the running ones.
  */
-export function decideMove(
+export function decideSwitchover(
   view: GroupView,
   primary: MemberView,
   members: readonly AttemptMember[],
-  reports: readonly HeardReport[],
+  reports: readonly ReceivedReport[],
   waitedMs: number,
   graceMs: number,
-): MoveDecision {
-  const standing = new Map(members.map(m => [m.backendServer, m.standing]));
-  if (standing.get(primary.backendServer) !== 'leaving') return 'none';
+): SwitchoverDecision {
+  const eligibility = new Map(members.map(m => [m.backendServer, m.standing]));
+  if (eligibility.get(primary.backendServer) !== 'leaving') return 'none';
   const allowed = view.members.filter(
     member =>
-      standing.get(member.backendServer) === 'allowed' &&
+      eligibility.get(member.backendServer) === 'allowed' &&
       member.reachability === 'reachable' &&
       member.state !== undefined,
   );
   if (allowed.length === 0) return 'none';
   if (waitedMs < MOVE_SETTLE_MS) return 'wait';
-  const end = primary.state?.received;
+  const primaryPosition = primary.state?.received;
   const caughtUp = allowed.some(
-    ({state}) => end && state && covers(state.received, end),
+    ({state}) =>
+      primaryPosition && state && covers(state.received, primaryPosition),
   );
   const busy = reports.some(({report}) => report.running > 0);
   return caughtUp && (!busy || waitedMs >= MOVE_SETTLE_MS + graceMs)
