--- a/packages/core/src/failover/decide_failover.ts
+++ b/packages/core/src/failover/decide_failover.ts
@@ -36,10 +36,7 @@
 
 type Observation = Extract<FailoverMessage, {kind: 'observed'}>;
 
-/**
- * Decides what one VM does about the primary of one group when it receives a
- * message. Timeouts are checked with each observation.
- */
+/** Decides what one VM does about the primary of one group after a message. */
 export function decideFailover(
   state: FailoverState,
   message: FailoverMessage,
--- a/packages/core/src/leadership/__tests__/choose_successor.test.ts
+++ b/packages/core/src/leadership/__tests__/choose_successor.test.ts
@@ -28,66 +28,75 @@
   waitedMs: 0,
 };
 
-const LEADS = {role: 'primary'} as const;
+const IS_PRIMARY = {role: 'primary'} as const;
 
 const CASES: ReadonlyArray<readonly [string, Partial<SuccessorSituation>]> = [
-  ['the longest log wins', {}],
+  ['chooses the longest log', {}],
   [
-    'a later term goes before a longer log',
+    'prefers a later term to a longer log',
     {reports: [report('b', 4, 1), report('c', 3, 12)]},
   ],
   [
-    'the nearer of two equal members',
+    'prefers the nearer of two members with equal logs',
     {reports: [report('b', 3, 9), report('c', 3, 9, {proximity: 'near'})]},
   ],
   [
-    'not a leaving member among equal ones',
+    'avoids a leaving member among members with equal logs',
     {reports: [report('b', 3, 9, {eligibility: 'leaving'}), report('c', 3, 9)]},
   ],
-  ['nobody reported', {reports: []}],
-  ['one is missing, early', {reports: [report('b', 3, 10)]}],
-  ['one is missing, late', {reports: [report('b', 3, 10)], waitedMs: 500}],
+  ['waits if no member has reported', {reports: []}],
+  ['waits for a missing report', {reports: [report('b', 3, 10)]}],
   [
-    'one is missing, late, with a synchronous replica',
+    'stops waiting for a missing report after a while',
+    {reports: [report('b', 3, 10)], waitedMs: 500},
+  ],
+  [
+    'keeps waiting for a missing report with a synchronous replica',
     {
       reports: [report('b', 3, 10)],
       waitedMs: 9_000,
       synchronousReplicas: 1,
     },
   ],
-  ['planned, behind', {required: {term: 3, position: 13}}],
   [
-    'planned, behind for long',
+    'waits in a switchover while all members are behind',
+    {required: {term: 3, position: 13}},
+  ],
+  [
+    'stops waiting in a switchover for members that stay behind',
     {required: {term: 3, position: 13}, waitedMs: 3_100},
   ],
-  ['planned, caught up', {required: {term: 3, position: 12}}],
   [
-    'promoted by an earlier holder, the former primary follows it',
+    'promotes a member that has caught up in a switchover',
+    {required: {term: 3, position: 12}},
+  ],
+  [
+    'accepts an earlier promotion that the former primary follows',
     {
-      reports: [report('b', 4, 12, LEADS), report('c', 4, 12)],
+      reports: [report('b', 4, 12, IS_PRIMARY), report('c', 4, 12)],
       former: {role: 'replica', term: 4},
     },
   ],
   [
-    'promoted by an earlier holder, the former primary is silent',
-    {reports: [report('b', 4, 12, LEADS), report('c', 4, 12)]},
+    'accepts an earlier promotion if the former primary is unresponsive',
+    {reports: [report('b', 4, 12, IS_PRIMARY), report('c', 4, 12)]},
   ],
   [
-    'promoted by an earlier holder, the former primary still leads its term',
+    'accepts an earlier promotion if the former primary has an older term',
     {
-      reports: [report('b', 4, 12, LEADS), report('c', 4, 12)],
+      reports: [report('b', 4, 12, IS_PRIMARY), report('c', 4, 12)],
       former: {role: 'primary', term: 3},
     },
   ],
   [
-    'a primary of an earlier term that was cut off',
-    {reports: [report('b', 2, 20, LEADS), report('c', 3, 12)]},
+    'ignores a primary of an earlier term that was cut off',
+    {reports: [report('b', 2, 20, IS_PRIMARY), report('c', 3, 12)]},
   ],
 ];
 
 describe('chooseSuccessor', () => {
-  // Guards against lost commits, and against repeating an order that took
-  // effect before its holder died, which then never ends.
+  // Guards against lost commits, and against repeating for ever an order that
+  // took effect before the coordinator that gave it died.
   it.each(CASES)('%s', (unusedName, change) => {
     expect(chooseSuccessor({...BASE, ...change})).toMatchSnapshot();
   });
--- a/packages/core/src/leadership/__tests__/primary_right.test.ts
+++ b/packages/core/src/leadership/__tests__/primary_right.test.ts
@@ -28,28 +28,28 @@
 };
 
 const CASES: ReadonlyArray<readonly [string, Partial<RightBasis>, number]> = [
-  ['fresh proof', {}, 1_500],
-  ['just before the end', {}, 1_000 + PRIMARY_RIGHT_MS - 1],
-  ['at the end', {}, 1_000 + PRIMARY_RIGHT_MS],
-  ['no proof', {proof: undefined}, 1_500],
-  ['not registered', {joined: 'not-joined'}, 1_500],
-  ['no record', {record: undefined}, 1_500],
-  ['moving', {record: MOVING}, 1_500],
-  ['clock of the store unknown', {}, Infinity],
+  ['is granted with a recent proof', {}, 1_500],
+  ['is granted just before it expires', {}, 1_000 + PRIMARY_RIGHT_MS - 1],
+  ['is denied once it expires', {}, 1_000 + PRIMARY_RIGHT_MS],
+  ['is denied without a proof', {proof: undefined}, 1_500],
+  ['is denied to a VM that is not registered', {joined: 'not-joined'}, 1_500],
+  ['is denied without a record', {record: undefined}, 1_500],
+  ['is denied during a primary change', {record: MOVING}, 1_500],
+  ['is denied while the clock of the store is unknown', {}, Infinity],
 ];
 
-describe('primaryRight', () => {
-  // Guards against the use of a primary that may have been replaced.
+describe('primary lease', () => {
+  // Guards against the use of a primary that may already have been replaced.
   it.each(CASES)('%s', (unusedName, change, latest) => {
     expect(primaryRight({...BASIS, ...change}, latest)).toMatchSnapshot();
   });
 
   // Guards against a promotion while a VM that was not reached still holds a
-  // right. Clocks differ, answers take long, and machines stand still.
-  it('has ended when the one who waits goes on (seeds 1 to 300)', () => {
+  // primary lease. Clocks differ, answers are delayed and machines are paused.
+  it('has expired when the VM that waits for it proceeds (seeds 1 to 300)', () => {
     for (let seed = 1; seed <= 300; seed++) {
       const random = new Random(seed);
-      const user = newClock(random);
+      const holder = newClock(random);
       const waiter = newClock(random);
       const proofAt = random.integer(0, 50_000);
       const revokedAt = proofAt + random.integer(1, 3_000);
@@ -58,19 +58,19 @@
         const isHeld =
           primaryRight(
             {...BASIS, proof: {asOfStoreMs: proofAt}},
-            latestStoreTime(user.clock, user.local(storeMs)),
+            latestStoreTime(holder.clock, holder.local(storeMs)),
           ).kind === 'granted';
-        const mayGoOn = !mayStillHoldRight(
+        const mayProceed = !mayStillHoldRight(
           revokedAt,
           earliestStoreTime(waiter.clock, waiter.local(storeMs)),
         );
-        expect(isHeld && mayGoOn, `seed ${seed}`).toBe(false);
+        expect(isHeld && mayProceed, `seed ${seed}`).toBe(false);
       }
     }
   });
 });
 
-/** A VM's clock that was compared with the store's a few times. */
+/** Returns a VM's clock with bounds from a few answers of the store. */
 function newClock(random: Random) {
   const offset = random.integer(-100_000, 100_000);
   const local = (storeMs: number): number => storeMs - offset;
@@ -85,8 +85,8 @@
 }
 
 describe('store clock', () => {
-  // Guards against a bound that stays too narrow after the VM's clock moved.
-  it('widens after a skip and narrows with the next answers', () => {
+  // Guards against bounds that stay too narrow after the VM's clock jumped.
+  it('widens its bounds after a jump and narrows them with later answers', () => {
     const first = afterStoreAnswer(UNKNOWN_STORE_CLOCK, 1_000, 400, 410);
     const skipped = afterClockSkip(first, 2_400);
     const second = afterStoreAnswer(skipped, 1_100, 2_905, 2_915);
--- a/packages/core/src/leadership/__tests__/suspicion.test.ts
+++ b/packages/core/src/leadership/__tests__/suspicion.test.ts
@@ -11,23 +11,35 @@
 }
 
 const CASES: ReadonlyArray<readonly [string, Partial<Record<View, number>>]> = [
-  ['two VMs of a data centre that is cut off', {unreachable: 2, unknown: 6}],
-  ['half of the VMs, the others silent', {unreachable: 4, unknown: 4}],
-  ['all VMs', {unreachable: 8}],
-  ['some VMs reach it', {unreachable: 4, reachable: 4}],
-  ['most VMs do not reach it', {unreachable: 5, reachable: 3}],
-  ['others are down', {unreachable: 3, 'vm-down': 5}],
   [
-    'a partition refuses connections to all others',
+    'is kept if two VMs of a data centre are cut off',
+    {unreachable: 2, unknown: 6},
+  ],
+  [
+    'is replaced if half of the VMs agree and the others are unresponsive',
+    {unreachable: 4, unknown: 4},
+  ],
+  ['is replaced if no VM reaches it', {unreachable: 8}],
+  ['is kept if half of the VMs reach it', {unreachable: 4, reachable: 4}],
+  ['is replaced if most VMs do not reach it', {unreachable: 5, reachable: 3}],
+  [
+    'is replaced if all running VMs agree and the others are down',
+    {unreachable: 3, 'vm-down': 5},
+  ],
+  [
+    'is kept if a partition refuses connections to all other VMs',
     {unreachable: 1, 'vm-down': 5},
   ],
-  ['one of three', {unreachable: 1, unknown: 2}],
-  ['the only VM', {unreachable: 1}],
-  ['one of two, the other silent', {unreachable: 1, unknown: 1}],
+  [
+    'is kept if one of three VMs does not reach it',
+    {unreachable: 1, unknown: 2},
+  ],
+  ['is replaced if the only VM does not reach it', {unreachable: 1}],
+  ['is kept if one of two VMs is unresponsive', {unreachable: 1, unknown: 1}],
 ];
 
-describe('judgeSuspicion', () => {
-  // Guards against a change of primary by VMs that are themselves cut off.
+describe('suspected primary', () => {
+  // Guards against a primary change by VMs that are cut off themselves.
   it.each(CASES)('%s', (unusedName, counts) => {
     expect(judgeSuspicion(views(counts))).toMatchSnapshot();
   });
--- a/packages/core/src/leadership/__tests__/take_duty.test.ts
+++ b/packages/core/src/leadership/__tests__/take_duty.test.ts
@@ -3,9 +3,10 @@
 
 const HELD = {holder: 'vm-a', fence: 7, takenAt: 1_000};
 
-describe('decideDuty', () => {
-  // Guards against two holders at a time and against a number used by two.
-  it('decides by holder and time', () => {
+describe('coordinator lease', () => {
+  // Guards against two holders at the same time, and against a fencing number
+  // that two holders use.
+  it('is granted by holder and time', () => {
     expect({
       nobody: decideDuty('vm-a', undefined, 0),
       own: decideDuty('vm-a', HELD, 500_000),
@@ -15,9 +16,9 @@
   });
 });
 
-describe('holdsDuty', () => {
-  // Guards against an order that arrives after the next holder's.
-  it('leaves time for the order', () => {
+describe('order of the coordinator', () => {
+  // Guards against an order that arrives after an order of the next holder.
+  it('is allowed only if it ends before the lease expires', () => {
     const end = 1_000 + DUTY_MS;
     expect([
       holdsDuty('vm-a', HELD, end - 1_001, 1_000),
--- a/packages/core/src/leadership/choose_successor.ts
+++ b/packages/core/src/leadership/choose_successor.ts
@@ -2,38 +2,42 @@
 import type {LogPosition} from '../session/log_position.js';
 import type {MemberRole} from '../routing/member_state.js';
 
-/** A member's own report during a change of primary. */
+/** A member's report about itself during a primary change. */
 export interface SuccessorReport {
   readonly member: string;
   readonly role: MemberRole;
   readonly term: number;
-  /** The end of the log that it received. */
+  /** The end of the log that the member has received. */
   readonly received: LogPosition;
-  /** Whether it may take new work: not leaving, its data centre in service. */
+  /**
+   * Whether the member may take new work: it is not leaving, and its data centre
+   * is in service.
+   */
   readonly eligibility: 'eligible' | 'leaving';
-  /** Whether it is in the data centre of the VM that decides. */
+  /** Whether the member is in the data centre of the VM that decides. */
   readonly proximity: 'near' | 'far';
 }
 
-/** What is known when a successor is chosen. */
+/** The input of the choice of a successor. */
 export interface SuccessorSituation {
-  /** Members other than the one that is replaced that answered. */
+  /** The reports of the members that answered, without the one replaced. */
   readonly reports: readonly SuccessorReport[];
   /** The member that is replaced, if it answered. */
   readonly former: Pick<SuccessorReport, 'role' | 'term'> | undefined;
-  /** How many such members the directory lists. */
+  /** How many members the directory lists, without the one replaced. */
   readonly listed: number;
-  /** The end of the log that the successor must hold, if it is known. */
+  /** The log position that the successor must hold, if it is known. */
   readonly required: LogPosition | undefined;
-  /** Replicas that hold every acknowledged commit besides the primary. */
+  /** How many replicas hold every acknowledged commit besides the primary. */
   readonly synchronousReplicas: number;
-  /** How long the choice has waited. */
+  /** How long the choice has waited, in milliseconds. */
   readonly waitedMs: number;
 }
 
+/** What to do next in a primary change. */
 export type SuccessorChoice =
   | {readonly kind: 'promote'; readonly member: string}
-  /** A member leads already in a later term. */
+  /** A member is already primary in a later term. */
   | {readonly kind: 'already'; readonly member: string}
   | {
       readonly kind: 'wait';
@@ -42,24 +46,25 @@
 
 /** How long the choice waits for members that have not reported. */
 const REPORT_WAIT_MS = 400;
-/** How long a planned change waits for a replica to receive the whole log. */
+/** How long a switchover waits for a replica to receive the whole log. */
 const CATCH_UP_WAIT_MS = 3_000;
 
 /**
- * Chooses the member with the most of the log. With synchronous replicas an
- * acknowledged commit may be on one member only, so all must have reported.
+ * Chooses the member with the highest log position. With synchronous replicas,
+ * an acknowledged commit may be on a single member besides the primary, so all
+ * members must have reported.
  */
 export function chooseSuccessor(
   situation: SuccessorSituation,
 ): SuccessorChoice {
   const {reports, required, waitedMs} = situation;
-  const leader = presentLeader(situation);
-  if (leader) return {kind: 'already', member: leader.member};
-  const best = [...reports].sort(preference)[0];
+  const promoted = findPromotedMember(situation);
+  if (promoted) return {kind: 'already', member: promoted.member};
+  const best = [...reports].sort(comparePreference)[0];
   if (!best) return {kind: 'wait', reason: 'no-report'};
   if (reports.length < situation.listed) {
-    const mustHearAll = situation.synchronousReplicas > 0;
-    if (mustHearAll || waitedMs < REPORT_WAIT_MS) {
+    const needsAllReports = situation.synchronousReplicas > 0;
+    if (needsAllReports || waitedMs < REPORT_WAIT_MS) {
       return {kind: 'wait', reason: 'not-all-reported'};
     }
   }
@@ -74,25 +79,27 @@
 }
 
 /**
- * The member that an earlier order made primary: it leads in the highest term
- * that any member reports, and the former primary does not lead in that term.
+ * Returns the member that an earlier order has promoted, if any: it is primary
+ * in the highest term that any member reports, and the former primary is not
+ * primary in that term.
  */
-function presentLeader({
+function findPromotedMember({
   reports,
   former,
 }: SuccessorSituation): SuccessorReport | undefined {
-  const leader = reports.find(item => item.role === 'primary');
-  if (!leader) return undefined;
+  const primary = reports.find(item => item.role === 'primary');
+  if (!primary) return undefined;
   const terms = reports.map(item => item.term);
-  if (Math.max(...terms) > leader.term) return undefined;
-  if (!former) return leader;
+  if (Math.max(...terms) > primary.term) return undefined;
+  if (!former) return primary;
   if (former.role === 'primary') {
-    return leader.term > former.term ? leader : undefined;
+    return primary.term > former.term ? primary : undefined;
   }
-  return leader.term >= former.term ? leader : undefined;
+  return primary.term >= former.term ? primary : undefined;
 }
 
-function preference(a: SuccessorReport, b: SuccessorReport): number {
+/** Sorts the preferred successor first. */
+function comparePreference(a: SuccessorReport, b: SuccessorReport): number {
   return (
     compareLogPosition(b.received, a.received) ||
     rank(a.eligibility === 'eligible') - rank(b.eligibility === 'eligible') ||
--- a/packages/core/src/leadership/leadership_record.ts
+++ b/packages/core/src/leadership/leadership_record.ts
@@ -1,39 +1,42 @@
-/** Why a database gets another primary. */
+/** The reason for a primary change. */
 export type MoveReason =
-  /** Most VMs cannot reach the primary. */
+  /** At least half of the running VMs cannot reach the primary. */
   | 'unreachable'
-  /** The primary is about to stop, or its data centre is taken out. */
+  /** The primary is about to stop, or its data centre goes out of service. */
   | 'leaving'
-  /** The primary is no longer in the directory of members. */
+  /** The directory no longer lists the primary. */
   | 'gone';
 
-/** Which member is the primary of a database, as the store records it. */
+/** The store's record of the primary of a database group. */
 export type LeadershipRecord =
   | {
       readonly phase: 'settled';
       readonly primary: string;
     }
   | {
-      /** No VM uses any member as primary until the move is settled. */
+      /** No VM uses any member as primary until the change is settled. */
       readonly phase: 'moving';
       /** The member that is replaced. */
       readonly from: string;
       readonly reason: MoveReason;
     };
 
-/** A record with the store's version of its row. */
+/** A record with the version of its row in the store. */
 export interface VersionedLeadership {
   readonly record: LeadershipRecord;
   readonly version: number;
 }
 
 /**
- * The VM that may order promotions. The fencing number grows whenever the
- * holder changes, so that orders of an earlier holder can be told apart.
+ * The coordinator lease: its holder, the coordinator, is the one VM that may
+ * order promotions. The fencing number grows whenever the holder changes, so
+ * that orders of an earlier coordinator can be rejected.
  */
 export interface DutyRecord {
+  /** Name of the VM that holds the lease. */
   readonly holder: string;
+  /** The fencing number. */
   readonly fence: number;
-  /** Store time at which the holder last took or extended the duty. */
+  /** Store time at which the holder last acquired or renewed the lease. */
   readonly takenAt: number;
 }
--- a/packages/core/src/leadership/primary_right.ts
+++ b/packages/core/src/leadership/primary_right.ts
@@ -1,19 +1,21 @@
 import type {LeadershipRecord} from './leadership_record.js';
 
 /**
- * How long a VM may use a primary on the strength of what it last knew of the
- * store. A VM that replaces a primary waits as long for VMs that it cannot
- * reach, so a shorter time ends an outage earlier when a VM and a primary fail
- * together; a longer one bridges longer outages of the store.
+ * Duration of the primary lease: how long a VM may use a primary after the last
+ * store time up to which it has read the store's rows. A VM that replaces a
+ * primary waits as long for VMs that it cannot reach. A shorter lease therefore
+ * ends an outage earlier if a VM and a primary fail together; a longer one
+ * bridges longer outages of the store.
  */
 export const PRIMARY_RIGHT_MS = 10_000;
 
-/** What a VM knows of the store's rows. */
+/** Proof of how current a VM's copy of the store's rows is. */
 export interface StoreProof {
-  /** Every row that was written up to this store time is known. */
+  /** The copy contains every write up to this store time. */
   readonly asOfStoreMs: number;
 }
 
+/** Whether a VM holds the primary lease of a group. */
 export type PrimaryRight =
   | {readonly kind: 'granted'; readonly primary: string}
   | {
@@ -21,17 +23,17 @@
       readonly reason: 'no-record' | 'moving' | 'proof-expired' | 'not-joined';
     };
 
-/** The state from which a VM's right to use a primary follows. */
+/** The state that determines whether a VM holds a primary lease. */
 export interface RightBasis {
   readonly record: LeadershipRecord | undefined;
   readonly proof: StoreProof | undefined;
-  /** Whether the proof shows this VM in the list of VMs. */
+  /** Whether the store's list of VMs contains this VM. */
   readonly joined: 'joined' | 'not-joined';
 }
 
 /**
  * Decides whether this VM may use a primary now. `latestStoreMs` is the latest
- * that the store's clock can show.
+ * time that the store's clock can show now.
  */
 export function primaryRight(
   {record, proof, joined}: RightBasis,
@@ -46,7 +48,11 @@
   return {kind: 'granted', primary: record.primary};
 }
 
-/** Whether a VM that does not answer can still hold a right from before. */
+/**
+ * Whether a VM that does not answer can still hold a primary lease that was
+ * revoked at `revokedAtStoreMs`. `earliestStoreMs` is the earliest time that the
+ * store's clock can show now.
+ */
 export function mayStillHoldRight(
   revokedAtStoreMs: number,
   earliestStoreMs: number,
--- a/packages/core/src/leadership/store_clock.ts
+++ b/packages/core/src/leadership/store_clock.ts
@@ -1,19 +1,20 @@
 /**
- * Bounds on how far the store's clock is ahead of this VM's clock. Each answer
- * of the store carries a time that it read between the sending of the request
- * and the arrival of the answer.
+ * Bounds, in milliseconds, of how far the store's clock is ahead of this VM's.
+ * Each answer of the store carries a time that the store read between the
+ * sending of the request and the arrival of the answer.
  */
 export interface StoreClock {
   readonly minOffset: number;
   readonly maxOffset: number;
 }
 
+/** The bounds before the first answer of the store. */
 export const UNKNOWN_STORE_CLOCK: StoreClock = {
   minOffset: -Infinity,
   maxOffset: Infinity,
 };
 
-/** Narrows the bounds by one answer. */
+/** Narrows the bounds with one answer of the store. */
 export function afterStoreAnswer(
   clock: StoreClock,
   storeMs: number,
@@ -22,7 +23,8 @@
 ): StoreClock {
   const minOffset = storeMs - receivedAt;
   const maxOffset = storeMs - sentAt;
-  // Bounds that contradict the answer stem from a clock that was wrong.
+  // If the answer contradicts the bounds, one of the clocks was wrong before, so
+  // only the answer counts.
   if (minOffset > clock.maxOffset || maxOffset < clock.minOffset) {
     return {minOffset, maxOffset};
   }
@@ -33,8 +35,8 @@
 }
 
 /**
- * Widens the bounds after this VM's clock moved by `skippedMs` at once, of
- * which an unknown part was real time.
+ * Widens the bounds after this VM's clock jumped by `skippedMs`, of which an
+ * unknown part was elapsed time.
  */
 export function afterClockSkip(
   clock: StoreClock,
@@ -43,12 +45,12 @@
   return {...clock, minOffset: clock.minOffset - skippedMs};
 }
 
-/** The latest that the store's clock can show at `now`. */
+/** Returns the latest time that the store's clock can show at `now`. */
 export function latestStoreTime(clock: StoreClock, now: number): number {
   return now + clock.maxOffset;
 }
 
-/** The earliest that the store's clock can show at `now`. */
+/** Returns the earliest time that the store's clock can show at `now`. */
 export function earliestStoreTime(clock: StoreClock, now: number): number {
   return now + clock.minOffset;
 }
--- a/packages/core/src/leadership/suspicion.ts
+++ b/packages/core/src/leadership/suspicion.ts
@@ -1,23 +1,31 @@
-/** How one VM sees the primary of a database. */
+/** One VM's observation of the primary of a database group. */
 export type PrimarySighting = 'reachable' | 'unreachable' | 'unknown';
 
-/** How long a primary must be unreachable before others are asked. */
+/** How long a primary must be unreachable before a VM asks the others. */
 export const SUSPECT_AFTER_MS = 450;
 
+/** Whether a suspected primary is replaced. */
 export type SuspicionVerdict = 'replace' | 'keep';
 
 /**
- * Decides from the VMs' views whether a primary is replaced. At least half of
- * the VMs must agree, so that VMs that are cut off from all others change
- * nothing. VMs whose process is down are not counted, but one VM alone decides
- * only when no other is registered, as a partition may refuse connections too.
+ * Evaluates the observations of all VMs and decides whether a primary is
+ * replaced. At least half of the VMs must find it unreachable, so that VMs that
+ * are cut off from all others cannot replace it. VMs whose process is down are
+ * not counted. Nevertheless, one VM alone decides only if no other VM is
+ * registered, because a refused connection may also come from a partition.
  */
 export function judgeSuspicion(
   views: ReadonlyArray<PrimarySighting | 'vm-down'>,
 ): SuspicionVerdict {
-  const vms = views.filter(view => view !== 'vm-down');
-  const against = vms.filter(view => view === 'unreachable').length;
-  const inFavour = vms.filter(view => view === 'reachable').length;
-  const quorum = Math.max(Math.min(2, views.length), vms.length / 2);
-  return against >= quorum && against > inFavour ? 'replace' : 'keep';
+  const runningViews = views.filter(view => view !== 'vm-down');
+  const unreachableCount = runningViews.filter(
+    view => view === 'unreachable',
+  ).length;
+  const reachableCount = runningViews.filter(
+    view => view === 'reachable',
+  ).length;
+  const quorum = Math.max(Math.min(2, views.length), runningViews.length / 2);
+  return unreachableCount >= quorum && unreachableCount > reachableCount
+    ? 'replace'
+    : 'keep';
 }
--- a/packages/core/src/leadership/take_duty.ts
+++ b/packages/core/src/leadership/take_duty.ts
@@ -1,18 +1,21 @@
 import type {DutyRecord} from './leadership_record.js';
 
 /**
- * How long the duty stays with a holder that does nothing. It exceeds the time
- * limit of an order, so that no order of a former holder is still under way.
+ * Duration of the coordinator lease unless the holder renews it. It exceeds the
+ * time limit of an order, so that no order of a former holder is still in
+ * progress when the lease changes hands.
  */
 export const DUTY_MS = 5_000;
 
+/** Whether a VM may acquire the coordinator lease, and with which number. */
 export type DutyDecision =
   | {readonly kind: 'take'; readonly fence: number}
   | {readonly kind: 'leave'; readonly holder: string};
 
 /**
- * Decides whether a VM may take the duty. Another VM's duty is over once its
- * time has passed even on the slowest reading of the store's clock.
+ * Decides whether a VM may acquire or renew the coordinator lease. Another VM's
+ * lease has expired once its duration has passed at the earliest time that the
+ * store's clock can show.
  */
 export function decideDuty(
   vm: string,
@@ -27,7 +30,10 @@
   return {kind: 'leave', holder: current.holder};
 }
 
-/** Whether the holder may still give an order that ends within `orderMs`. */
+/**
+ * Whether a VM holds the coordinator lease for at least another `orderMs`, so
+ * that an order with this time limit ends before the lease.
+ */
 export function holdsDuty(
   vm: string,
   current: DutyRecord,
