--- a/packages/core/src/membership/__tests__/decide_membership.test.ts
+++ b/packages/core/src/membership/__tests__/decide_membership.test.ts
@@ -19,7 +19,7 @@
   return {peer: peer(vm), state, incarnation};
 }
 
-function heard(
+function contactFrom(
   from: string,
   incarnation: number,
   ...changes: MembershipChange[]
@@ -27,7 +27,7 @@
   return {kind: 'heard', from: peer(from), incarnation, changes};
 }
 
-/** Runs events that happen at the given times and summarises the outcome. */
+/** Applies events at the given times and summarises the outcome. */
 function run(events: ReadonlyArray<readonly [number, MembershipEvent]>) {
   const random = new Random(7);
   let state: MembershipState = initialMembership(peer('a1'), 10);
@@ -53,15 +53,15 @@
   };
 }
 
-const KNOWN = heard(
+const CONTACT = contactFrom(
   'b1',
   5,
   change('c1', 'alive', 5),
   change('b2', 'alive', 5),
 );
-const FAILED: MembershipEvent = {kind: 'probe-failed', vm: 'c1'};
+const PROBE_FAILED: MembershipEvent = {kind: 'probe-failed', vm: 'c1'};
 const TICK: MembershipEvent = {kind: 'tick'};
-const UNREACHED: MembershipEvent = {
+const NOT_REACHED: MembershipEvent = {
   kind: 'indirect-finished',
   vm: 'c1',
   outcome: 'not-reached',
@@ -71,107 +71,108 @@
   const cases: ReadonlyArray<
     readonly [string, ReadonlyArray<readonly [number, MembershipEvent]>]
   > = [
-    // Guards against a suspicion after one lost packet.
+    // Guards against a suspicion after a single lost packet.
     [
-      'a silent peer that others reach stays alive',
+      'keeps an unresponsive peer alive that others reach',
       [
-        [0, KNOWN],
-        [1, FAILED],
+        [0, CONTACT],
+        [1, PROBE_FAILED],
         [2, {kind: 'indirect-finished', vm: 'c1', outcome: 'reached'}],
       ],
     ],
-    // Guards against a peer that is down before it could refute.
+    // Guards against marking a peer as down before it can refute.
     [
-      'a suspicion ends in down only after its time',
+      'keeps a suspected peer until the suspicion times out',
       [
-        [0, KNOWN],
-        [1, FAILED],
-        [2, UNREACHED],
+        [0, CONTACT],
+        [1, PROBE_FAILED],
+        [2, NOT_REACHED],
         [SUSPICION_MS + 1, TICK],
       ],
     ],
     [
-      'an unrefuted suspicion ends in down',
+      'marks a suspected peer as down if it does not refute in time',
       [
-        [0, KNOWN],
-        [1, FAILED],
-        [2, UNREACHED],
+        [0, CONTACT],
+        [1, PROBE_FAILED],
+        [2, NOT_REACHED],
         [SUSPICION_MS + 2, TICK],
       ],
     ],
-    // Guards against a live peer that is removed although it refuted.
+    // Guards against removing a live peer that has refuted.
     [
-      'a higher incarnation refutes',
+      'accepts a higher incarnation as a refutation',
       [
-        [0, KNOWN],
-        [2, UNREACHED],
-        [3, heard('c1', 6)],
+        [0, CONTACT],
+        [2, NOT_REACHED],
+        [3, contactFrom('c1', 6)],
         [SUSPICION_MS + 9, TICK],
       ],
     ],
-    // Guards against old news that ends a suspicion.
+    // Guards against an old update that ends a suspicion.
     [
-      'the same incarnation does not refute',
+      'does not accept the same incarnation as a refutation',
       [
-        [0, KNOWN],
-        [2, UNREACHED],
-        [3, heard('b1', 5, change('c1', 'alive', 5))],
+        [0, CONTACT],
+        [2, NOT_REACHED],
+        [3, contactFrom('b1', 5, change('c1', 'alive', 5))],
       ],
     ],
-    // Guards against this VM being removed while it runs.
+    // Guards against other VMs removing this VM while it runs.
     [
-      'news that this VM is down raises its incarnation',
-      [[0, heard('b1', 5, change('a1', 'down', 12))]],
+      'raises its incarnation when it receives that it is down',
+      [[0, contactFrom('b1', 5, change('a1', 'down', 12))]],
     ],
-    // Guards against a stopped VM that is probed and suspected for long.
+    // Guards against probing and suspecting a stopped VM for long.
     [
-      'a VM that left is not revived by old news',
+      'keeps a VM as left in spite of an old update',
       [
-        [0, KNOWN],
-        [1, heard('b1', 5, change('c1', 'left', 5))],
-        [2, heard('b2', 5, change('c1', 'alive', 5))],
+        [0, CONTACT],
+        [1, contactFrom('b1', 5, change('c1', 'left', 5))],
+        [2, contactFrom('b2', 5, change('c1', 'alive', 5))],
       ],
     ],
-    // Guards against using the lagging list as a proof of life or death.
+    // Guards against treating the list, which lags behind, as a proof that a VM
+    // is alive or down.
     [
-      'the list only gives candidates',
+      'makes only candidates of listed VMs',
       [
-        [0, KNOWN],
+        [0, CONTACT],
         [1, {kind: 'listed', peers: [peer('d1', ''), peer('b1', '')]}],
         [2, TICK],
         [3, TICK],
         [5_002, TICK],
       ],
     ],
-    // Guards against a fleet that stays split after a partition.
+    // Guards against a fleet that stays split after a partition has ended.
     [
-      'a peer that is down is probed again',
+      'probes a peer that is down again',
       [
-        [0, heard('c1', 5)],
-        [1, UNREACHED],
+        [0, contactFrom('c1', 5)],
+        [1, NOT_REACHED],
         [2_001, TICK],
         [7_001, TICK],
-        [7_300, FAILED],
+        [7_300, PROBE_FAILED],
         [7_501, TICK],
         [12_300, TICK],
       ],
     ],
-    // Guards against peers that suspect a VM which has stopped as planned.
+    // Guards against peers that suspect a VM that has stopped as planned.
     [
-      'a leaving VM tells several peers at once',
+      'notifies several peers at once when it leaves',
       [
-        [0, KNOWN],
+        [0, CONTACT],
         [1, {kind: 'leave'}],
       ],
     ],
-    // Guards against peers that keep a VM as gone which serves again.
+    // Guards against peers that keep a VM as left that serves again.
     [
-      'a VM that returns replaces the news that it left',
+      'overrides the change that it left when it returns',
       [
-        [0, KNOWN],
+        [0, CONTACT],
         [1, {kind: 'leave'}],
         [2, {kind: 'return'}],
-        [3, heard('b1', 5, change('a1', 'left', 10))],
+        [3, contactFrom('b1', 5, change('a1', 'left', 10))],
       ],
     ],
   ];
@@ -181,16 +182,17 @@
   });
 });
 
-describe('takeChanges', () => {
-  // Guards against messages that grow with the fleet, and news sent for ever.
-  it('bounds a message and the number of times a change is sent', () => {
+describe('changes of a message', () => {
+  // Guards against messages that grow with the fleet and against changes that
+  // are sent for ever.
+  it('are bounded in number and in retransmissions', () => {
     const random = new Random(3);
     const many = Array.from({length: 100}, (unused, index) =>
       change(`b${index}`, 'alive', 1),
     );
     let {state} = decideMembership(
       initialMembership(peer('a1'), 1),
-      heard('c1', 1, ...many),
+      contactFrom('c1', 1, ...many),
       random,
       0,
     );
@@ -200,26 +202,26 @@
       const taken = takeChanges(state, 'c1', 'known', random);
       state = taken.state;
       sizes.add(taken.changes.length);
-      for (const {peer: about} of taken.changes) {
-        sent.set(about.vm, (sent.get(about.vm) ?? 0) + 1);
+      for (const {peer: subject} of taken.changes) {
+        sent.set(subject.vm, (sent.get(subject.vm) ?? 0) + 1);
       }
     }
     expect(Math.max(...sizes)).toBe(MAX_CHANGES);
     expect(new Set(sent.values())).toEqual(new Set([retransmissions(state)]));
-    const fresh = takeChanges(state, 'b7', 'new', random).changes;
-    expect(fresh.length).toBe(MAX_CHANGES);
+    const forNewVm = takeChanges(state, 'b7', 'new', random).changes;
+    expect(forNewVm.length).toBe(MAX_CHANGES);
   });
 
-  // Guards against a suspected peer that never learns of the suspicion.
-  it('tells the recipient that it is suspected', () => {
+  // Guards against a suspected peer that never receives the suspicion.
+  it('include the suspicion of the recipient', () => {
     const random = new Random(3);
     let {state} = decideMembership(
       initialMembership(peer('a1'), 1),
-      heard('c1', 4),
+      contactFrom('c1', 4),
       random,
       0,
     );
-    state = decideMembership(state, UNREACHED, random, 0).state;
+    state = decideMembership(state, NOT_REACHED, random, 0).state;
     expect(takeChanges(state, 'c1', 'known', random).changes).toContainEqual(
       change('c1', 'suspect', 4),
     );
--- a/packages/core/src/membership/decide_membership.ts
+++ b/packages/core/src/membership/decide_membership.ts
@@ -10,44 +10,51 @@
   MembershipState,
   PeerEntry,
 } from './membership_state.js';
-import {enterState, mergeChange} from './merge_change.js';
+import {mergeChange, setPeerState} from './merge_change.js';
 import type {MembershipChange, PeerRecord} from './peer_record.js';
 import {shuffle} from './take_changes.js';
 
-/** Listed VMs that were never heard of are probed at most this often. */
-const CANDIDATE_RETRY_MS = 5_000;
+/** Minimum interval between two probes of a listed VM that is no peer yet. */
+const CANDIDATE_PROBE_INTERVAL_MS = 5_000;
 
-/** Bounds the work of a VM that starts in a large fleet. */
-const CANDIDATES_PER_TICK = 4;
+/**
+ * How many candidates are probed per tick, or peers notified when a VM leaves.
+ * It bounds the load of a VM that starts in a large fleet.
+ */
+const MAX_PROBES_PER_TICK = 4;
 
-/** A peer that is down is probed this often, to find it after a partition. */
-const DOWN_RETRY_MS = 5_000;
+/**
+ * Minimum interval between two probes of a peer that is down. The probes find
+ * it again after a partition.
+ */
+const DOWN_PROBE_INTERVAL_MS = 5_000;
 
-/** What happened. */
+/** An input of the membership decisions. */
 export type MembershipEvent =
   | {readonly kind: 'tick'}
-  /** A direct probe of a peer had no answer. */
+  /** A direct probe of a peer was not answered in time. */
   | {readonly kind: 'probe-failed'; readonly vm: string}
+  /** The probes of a peer through other peers ended. */
   | {
       readonly kind: 'indirect-finished';
       readonly vm: string;
       readonly outcome: 'reached' | 'not-reached';
     }
-  /** A peer sent or answered a probe. */
+  /** A peer sent or answered a probe, with its incarnation and changes. */
   | {
       readonly kind: 'heard';
       readonly from: PeerRecord;
       readonly incarnation: number;
       readonly changes: readonly MembershipChange[];
     }
-  /** The platform's list was read. */
+  /** The platform's list of VMs was read. */
   | {readonly kind: 'listed'; readonly peers: readonly PeerRecord[]}
-  /** This VM stops. */
+  /** This VM stops accepting work. */
   | {readonly kind: 'leave'}
-  /** This VM takes work again after it left. */
+  /** This VM accepts work again after it left. */
   | {readonly kind: 'return'};
 
-/** What the task does next. */
+/** A probe that the membership task sends. */
 export type MembershipAction =
   | {readonly kind: 'probe'; readonly target: PeerRecord}
   | {
@@ -56,12 +63,13 @@
       readonly via: readonly PeerRecord[];
     };
 
+/** The result of one decision. */
 export interface MembershipDecision {
   readonly state: MembershipState;
   readonly actions: readonly MembershipAction[];
 }
 
-/** Decides what follows from an event. */
+/** Applies an event to the membership and returns the probes to send. */
 export function decideMembership(
   state: MembershipState,
   event: MembershipEvent,
@@ -80,47 +88,52 @@
         actions: [],
       };
     case 'heard':
-      return {state: heard(state, event, now), actions: []};
+      return {state: recordContact(state, event, now), actions: []};
     case 'listed':
-      return {state: listed(state, event.peers), actions: []};
+      return {state: updateCandidates(state, event.peers), actions: []};
     case 'leave':
       return leave(state, random);
     case 'return':
-      return {state: returned(state), actions: []};
+      return {state: rejoin(state), actions: []};
   }
 }
 
+/**
+ * Ages the membership and selects the probes that are due: the next peer of the
+ * round, candidates and one peer that is down.
+ */
 function tick(
   before: MembershipState,
   random: Random,
   now: number,
 ): MembershipDecision {
-  const aged = forget(expireSuspicions(before, now), now);
-  const {state, target} = nextOfRound(aged, random);
-  const candidates = dueCandidates(state, random, now);
-  const down = random.pick(
+  const current = evictEnded(expireSuspicions(before, now), now);
+  const {state, target} = takeNextOfRound(current, random);
+  const candidates = selectDueCandidates(state, random, now);
+  const downPeer = random.pick(
     [...state.peers.values()].filter(
-      entry => entry.state === 'down' && now - entry.triedAt >= DOWN_RETRY_MS,
+      entry =>
+        entry.state === 'down' && now - entry.triedAt >= DOWN_PROBE_INTERVAL_MS,
     ),
   );
-  const tried = new Map(state.candidates);
-  for (const {peer} of candidates) tried.set(peer.vm, {peer, triedAt: now});
+  const probed = new Map(state.candidates);
+  for (const {peer} of candidates) probed.set(peer.vm, {peer, triedAt: now});
   const targets = [
     ...(target ? [target.peer] : []),
     ...candidates.map(candidate => candidate.peer),
-    ...(down ? [down.peer] : []),
+    ...(downPeer ? [downPeer.peer] : []),
   ];
   return {
-    state: {...state, candidates: tried},
+    state: {...state, candidates: probed},
     actions: targets.map(peer => ({kind: 'probe', target: peer})),
   };
 }
 
 /**
- * Takes the next peer of a shuffled round. Within a round each peer is probed
- * once, which bounds the time until a dead one is noticed.
+ * Takes the next peer of a shuffled round. Each peer is probed once per round,
+ * which bounds the time until the failure of a peer is detected.
  */
-function nextOfRound(
+function takeNextOfRound(
   state: MembershipState,
   random: Random,
 ): {readonly state: MembershipState; readonly target?: PeerEntry} {
@@ -134,17 +147,21 @@
   return {state: {...state, round: rest}, ...(target ? {target} : {})};
 }
 
-function dueCandidates(
+function selectDueCandidates(
   state: MembershipState,
   random: Random,
   now: number,
 ): Candidate[] {
   const due = [...state.candidates.values()].filter(
-    candidate => now - candidate.triedAt >= CANDIDATE_RETRY_MS,
+    candidate => now - candidate.triedAt >= CANDIDATE_PROBE_INTERVAL_MS,
   );
-  return shuffle(due, random).slice(0, CANDIDATES_PER_TICK);
+  return shuffle(due, random).slice(0, MAX_PROBES_PER_TICK);
 }
 
+/**
+ * Starts indirect probes of a peer that did not answer. If no other peer can
+ * send them, the peer is suspected at once.
+ */
 function probeFailed(
   state: MembershipState,
   vm: string,
@@ -170,6 +187,7 @@
   };
 }
 
+/** Marks a peer as suspect if it counts as alive. */
 function suspect(
   state: MembershipState,
   vm: string,
@@ -178,9 +196,10 @@
   const entry = state.peers.get(vm);
   if (entry?.state !== 'alive') return state;
   const {peer, incarnation} = entry;
-  return enterState(state, {peer, incarnation, state: 'suspect'}, now);
+  return setPeerState(state, {peer, incarnation, state: 'suspect'}, now);
 }
 
+/** Marks peers as down whose suspicion was not refuted in time. */
 function expireSuspicions(
   state: MembershipState,
   now: number,
@@ -193,13 +212,16 @@
     since,
   } of state.peers.values()) {
     if (peerState !== 'suspect' || now - since < SUSPICION_MS) continue;
-    result = enterState(result, {peer, incarnation, state: 'down'}, now);
+    result = setPeerState(result, {peer, incarnation, state: 'down'}, now);
   }
   return result;
 }
 
-/** Drops VMs that ended long ago, since each replacement has a new name. */
-function forget(state: MembershipState, now: number): MembershipState {
+/**
+ * Evicts VMs that have been down or gone for long. They would accumulate, since
+ * each replacement VM has a new name.
+ */
+function evictEnded(state: MembershipState, now: number): MembershipState {
   const peers = new Map(
     [...state.peers].filter(
       ([, entry]) =>
@@ -211,7 +233,8 @@
   return peers.size === state.peers.size ? state : {...state, peers};
 }
 
-function heard(
+/** Records that a peer is alive, and merges the changes that it sent. */
+function recordContact(
   state: MembershipState,
   event: Extract<MembershipEvent, {kind: 'heard'}>,
   now: number,
@@ -228,35 +251,36 @@
 }
 
 /**
- * Takes unknown VMs of the platform's list as candidates. The list lags, so a
- * VM on it is not taken as alive, and one missing from it is kept.
+ * Makes candidates of the VMs of the platform's list that are not peers yet.
+ * The list lags behind, so a VM on it is not assumed to be alive, and a peer
+ * that is missing from it is kept.
  */
-function listed(
+function updateCandidates(
   state: MembershipState,
   peers: readonly PeerRecord[],
 ): MembershipState {
   const candidates = new Map<string, Candidate>();
   for (const peer of peers) {
     if (peer.vm === state.self.vm || state.peers.has(peer.vm)) continue;
-    const known = state.candidates.get(peer.vm);
+    const previous = state.candidates.get(peer.vm);
     candidates.set(peer.vm, {
       peer,
-      triedAt: known?.triedAt ?? Number.NEGATIVE_INFINITY,
+      triedAt: previous?.triedAt ?? Number.NEGATIVE_INFINITY,
     });
   }
   return {...state, candidates};
 }
 
-/** Tells several peers at once that this VM leaves. */
+/** Announces to several peers at once that this VM leaves. */
 function leave(state: MembershipState, random: Random): MembershipDecision {
   const change: MembershipChange = {
     peer: state.self,
     state: 'left',
     incarnation: state.incarnation,
   };
-  const told = shuffle(runningPeers(state), random).slice(
+  const recipients = shuffle(runningPeers(state), random).slice(
     0,
-    CANDIDATES_PER_TICK,
+    MAX_PROBES_PER_TICK,
   );
   return {
     state: {
@@ -264,12 +288,12 @@
       presence: 'left',
       outbox: new Map(state.outbox).set(state.self.vm, {change, timesSent: 0}),
     },
-    actions: told.map(({peer}) => ({kind: 'probe', target: peer})),
+    actions: recipients.map(({peer}) => ({kind: 'probe', target: peer})),
   };
 }
 
-/** A higher incarnation replaces the news that this VM has left. */
-function returned(state: MembershipState): MembershipState {
+/** Overrides the announcement that this VM has left by a higher incarnation. */
+function rejoin(state: MembershipState): MembershipState {
   if (state.presence === 'present') return state;
   const incarnation = state.incarnation + 1;
   const change: MembershipChange = {
--- a/packages/core/src/membership/merge_change.ts
+++ b/packages/core/src/membership/merge_change.ts
@@ -1,28 +1,28 @@
 import type {MembershipState, PeerEntry} from './membership_state.js';
 import type {MembershipChange, PeerState} from './peer_record.js';
 
-/** At equal incarnations the state of the higher rank holds. */
-const RANK: Readonly<Record<PeerState, number>> = {
+/** At equal incarnations, the state with the higher precedence wins. */
+const STATE_PRECEDENCE: Readonly<Record<PeerState, number>> = {
   alive: 0,
   suspect: 1,
   down: 2,
   left: 3,
 };
 
-/** Adds one piece of news to a view and passes it on if it is new. */
+/** Merges a received change into a view and queues it for others if it is new. */
 export function mergeChange(
   state: MembershipState,
   change: MembershipChange,
   now: number,
 ): MembershipState {
   if (change.peer.vm === state.self.vm) return refute(state, change);
-  const known = state.peers.get(change.peer.vm);
-  if (known && !isNewer(change, known)) return state;
-  return enterState(state, change, now);
+  const entry = state.peers.get(change.peer.vm);
+  if (entry && !isNewer(change, entry)) return state;
+  return setPeerState(state, change, now);
 }
 
-/** Sets the state of a peer and queues it for the others. */
-export function enterState(
+/** Sets the state of a peer and queues the change for the other VMs. */
+export function setPeerState(
   state: MembershipState,
   change: MembershipChange,
   now: number,
@@ -38,15 +38,15 @@
   };
 }
 
-/** Answers news about this VM itself that is not true. */
+/** Refutes a wrong change about this VM itself by a higher incarnation. */
 function refute(
   state: MembershipState,
   change: MembershipChange,
 ): MembershipState {
-  const isOwn =
+  const isCorrect =
     change.peer.instance === state.self.instance &&
     (change.state === 'alive' || state.presence === 'left');
-  if (isOwn || change.incarnation < state.incarnation) return state;
+  if (isCorrect || change.incarnation < state.incarnation) return state;
   const incarnation = change.incarnation + 1;
   const own: MembershipChange = {
     peer: state.self,
@@ -63,9 +63,9 @@
   };
 }
 
-function isNewer(change: MembershipChange, known: PeerEntry): boolean {
-  if (change.incarnation !== known.incarnation) {
-    return change.incarnation > known.incarnation;
+function isNewer(change: MembershipChange, entry: PeerEntry): boolean {
+  if (change.incarnation !== entry.incarnation) {
+    return change.incarnation > entry.incarnation;
   }
-  return RANK[change.state] > RANK[known.state];
+  return STATE_PRECEDENCE[change.state] > STATE_PRECEDENCE[entry.state];
 }
--- a/packages/core/src/membership/peer_record.ts
+++ b/packages/core/src/membership/peer_record.ts
@@ -1,39 +1,39 @@
-/** What the VMs tell each other about the state of a VM. */
+/** The state of a VM that the VMs exchange. */
 export type PeerState = 'alive' | 'suspect' | 'down' | 'left';
 
-/** A VM as other VMs reach it. */
+/** The identity and the address of a VM among its peers. */
 export interface PeerRecord {
   readonly vm: string;
   readonly dataCentre: string;
   /** Address of the peer port as `host:port`. */
   readonly address: string;
-  /** Names one run of the VM's process; a restarted VM has another one. */
+  /** Identifies a run of the VM's process; it differs after a restart. */
   readonly instance: string;
 }
 
-/** A change of membership as it is piggybacked on probes. */
+/** A membership change, which is piggybacked on probes. */
 export interface MembershipChange {
   readonly peer: PeerRecord;
   readonly state: PeerState;
-  /** Raised by the VM itself to refute a suspicion. */
+  /** Only the VM itself raises it, to refute a suspicion. */
   readonly incarnation: number;
 }
 
-/** Versions of the rows that all VMs must agree on. */
+/** Versions of the store's rows that all VMs must agree on. */
 export interface Versions {
   readonly configuration: number;
   readonly ledger: number;
 }
 
-/** What a VM reports about versions on each probe. */
+/** The versions that a VM reports with each probe. */
 export interface VersionReport {
-  /** The highest versions that the VM has heard of. */
+  /** The highest versions that the VM has received. */
   readonly known: Versions;
-  /** The versions that are in force on the VM; this acknowledges them. */
+  /** The versions in force on the VM; reporting them acknowledges them. */
   readonly applied: Versions;
   /**
-   * Age of the VM's proof that the known versions were current, or null when
-   * it has none.
+   * Age in milliseconds of the VM's proof that the known versions were current,
+   * or null if it has none.
    */
   readonly proofAgeMs: number | null;
 }
--- a/packages/core/src/membership/take_changes.ts
+++ b/packages/core/src/membership/take_changes.ts
@@ -3,56 +3,60 @@
 import type {MembershipState, OutgoingChange} from './membership_state.js';
 import type {MembershipChange} from './peer_record.js';
 
-/** A message carries at most this many changes. */
+/** Maximum number of changes in one message. */
 export const MAX_CHANGES = 32;
 
 /**
- * A change is sent this many times the logarithm of the fleet's size, which
- * reaches all VMs with a high probability.
+ * A change is sent this many times the binary logarithm of the fleet's size, so
+ * that it reaches all VMs with a high probability.
  */
 const RETRANSMIT_FACTOR = 3;
 
-export interface TakenChanges {
+/** The changes of one message, and the state after they are sent. */
+export interface SelectedChanges {
   readonly state: MembershipState;
   readonly changes: readonly MembershipChange[];
 }
 
-/** Whether the recipient of a message is known or has just started. */
-export type Acquaintance = 'known' | 'new';
+/** Whether the recipient of a message is a known peer or has just joined. */
+export type RecipientStatus = 'known' | 'new';
 
 /**
- * Chooses the changes for one message. The recipient always learns that it is
- * believed to be gone, so that it can refute. A VM that is new also gets a
- * sample of the view, as the changes that made the view circulate no more.
+ * Selects the changes for one message. A recipient that does not count as alive
+ * always receives its own state, so that it can refute it. A new VM also gets a
+ * sample of the view, because older changes are no longer sent.
  */
 export function takeChanges(
   state: MembershipState,
   recipient: string,
-  acquaintance: Acquaintance,
+  recipientStatus: RecipientStatus,
   random: Random,
-): TakenChanges {
-  const about = state.peers.get(recipient);
+): SelectedChanges {
+  const recipientEntry = state.peers.get(recipient);
   const changes: MembershipChange[] =
-    about && about.state !== 'alive' ? [toChange(about)] : [];
-  const waiting = [...state.outbox.values()]
+    recipientEntry && recipientEntry.state !== 'alive'
+      ? [toChange(recipientEntry)]
+      : [];
+  const queued = [...state.outbox.values()]
     .filter(item => item.change.peer.vm !== recipient)
     .sort((a, b) => a.timesSent - b.timesSent)
     .slice(0, MAX_CHANGES - changes.length);
-  changes.push(...waiting.map(item => item.change));
-  if (acquaintance === 'new') {
-    changes.push(...sample(state, changes, recipient, random));
+  changes.push(...queued.map(item => item.change));
+  if (recipientStatus === 'new') {
+    changes.push(...sampleView(state, changes, recipient, random));
   }
   return {
-    state: {...state, outbox: afterSending(state, waiting)},
+    state: {...state, outbox: afterSending(state, queued)},
     changes,
   };
 }
 
-/** How many times one change is sent in a fleet of the present size. */
+/** Returns how many times a change is sent in a fleet of the current size. */
 export function retransmissions(state: MembershipState): number {
   return RETRANSMIT_FACTOR * Math.ceil(Math.log2(state.peers.size + 2));
 }
 
+/** Counts the sent changes and removes those that were sent often enough. */
 function afterSending(
   state: MembershipState,
   sent: readonly OutgoingChange[],
@@ -70,7 +74,8 @@
   return outbox;
 }
 
-function sample(
+/** Fills a message with random running peers that it does not mention yet. */
+function sampleView(
   state: MembershipState,
   taken: readonly MembershipChange[],
   recipient: string,
