--- a/packages/core/src/failover/__fixtures__/fake_fleet.ts
+++ b/packages/core/src/failover/__fixtures__/fake_fleet.ts
@@ -63,7 +63,7 @@
   | 'planned-move'
   /** One VM has a transaction open until 5 s when the primary has to leave. */
   | 'busy-planned-move'
-  /** The VM with the transaction gets the configuration after its end, at 7 s. */
+  /** The VM with the transaction receives the configuration only at 7 s. */
   | 'late-planned-move'
   /** As `late-planned-move`, but the transaction never ends. */
   | 'stuck-planned-move'
--- a/packages/core/src/failover/advance_attempt.ts
+++ b/packages/core/src/failover/advance_attempt.ts
@@ -187,7 +187,7 @@
   }
 }
 
-/** Enters the next phase as long as the current one is complete or timed out. */
+/** Enters the next phase while the current one is complete or timed out. */
 function advancePhases(attempt: Attempt, now: number): Attempt {
   const next = advancePhase(attempt, now);
   return next === attempt ? attempt : advancePhases(next, now);
@@ -274,7 +274,7 @@
     : {attempt: {...attempt, due}, actions};
 }
 
-/** Returns the calls of the current phase that have not succeeded, by target. */
+/** Returns the calls of the current phase that have not succeeded yet. */
 function pendingCalls(
   attempt: Attempt,
 ): ReadonlyArray<readonly [string, AttemptAction]> {
--- a/packages/core/src/failover/planned_move.ts
+++ b/packages/core/src/failover/planned_move.ts
@@ -5,8 +5,8 @@
 import type {ReceivedReport} from './failover_report.js';
 
 /**
- * Whether a switchover is needed and may start. `none`: the primary may stay, or
- * no reachable member may take over.
+ * Whether a switchover is needed and may start. `none`: the primary may stay,
+ * or no reachable member may take over.
  */
 export type SwitchoverDecision = 'none' | 'wait' | 'ready';
 
--- a/packages/core/src/leadership/__tests__/primary_right.test.ts
+++ b/packages/core/src/leadership/__tests__/primary_right.test.ts
@@ -34,7 +34,7 @@
   ['is denied without a proof', {proof: undefined}, 1_500],
   ['is denied to a VM that is not registered', {joined: 'not-joined'}, 1_500],
   ['is denied without a record', {record: undefined}, 1_500],
-  ['is denied during a primary change', {record: MOVING}, 1_500],
+  ['moving', {record: MOVING}, 1_500],
   ['is denied while the clock of the store is unknown', {}, Infinity],
 ];
 
@@ -46,7 +46,7 @@
 
   // Guards against a promotion while a VM that was not reached still holds a
   // primary lease. Clocks differ, answers are delayed and machines are paused.
-  it('has expired when the VM that waits for it proceeds (seeds 1 to 300)', () => {
+  it('has expired when a VM that waits for it proceeds (seeds 1 to 300)', () => {
     for (let seed = 1; seed <= 300; seed++) {
       const random = new Random(seed);
       const holder = newClock(random);
@@ -86,7 +86,7 @@
 
 describe('store clock', () => {
   // Guards against bounds that stay too narrow after the VM's clock jumped.
-  it('widens its bounds after a jump and narrows them with later answers', () => {
+  it('widens its bounds after a jump and narrows them afterwards', () => {
     const first = afterStoreAnswer(UNKNOWN_STORE_CLOCK, 1_000, 400, 410);
     const skipped = afterClockSkip(first, 2_400);
     const second = afterStoreAnswer(skipped, 1_100, 2_905, 2_915);
--- a/packages/core/src/leadership/choose_successor.ts
+++ b/packages/core/src/leadership/choose_successor.ts
@@ -10,8 +10,8 @@
   /** The end of the log that the member has received. */
   readonly received: LogPosition;
   /**
-   * Whether the member may take new work: it is not leaving, and its data centre
-   * is in service.
+   * Whether the member may take new work: it is not leaving, and its data
+   * centre is in service.
    */
   readonly eligibility: 'eligible' | 'leaving';
   /** Whether the member is in the data centre of the VM that decides. */
@@ -26,7 +26,7 @@
   readonly former: Pick<SuccessorReport, 'role' | 'term'> | undefined;
   /** How many members the directory lists, without the one replaced. */
   readonly listed: number;
-  /** The log position that the successor must hold, if it is known. */
+  /** The log position that the successor must hold, if it is determined. */
   readonly required: LogPosition | undefined;
   /** How many replicas hold every acknowledged commit besides the primary. */
   readonly synchronousReplicas: number;
--- a/packages/core/src/leadership/primary_right.ts
+++ b/packages/core/src/leadership/primary_right.ts
@@ -50,8 +50,8 @@
 
 /**
  * Whether a VM that does not answer can still hold a primary lease that was
- * revoked at `revokedAtStoreMs`. `earliestStoreMs` is the earliest time that the
- * store's clock can show now.
+ * revoked at `revokedAtStoreMs`. `earliestStoreMs` is the earliest time that
+ * the store's clock can show now.
  */
 export function mayStillHoldRight(
   revokedAtStoreMs: number,
