--- a/packages/core/src/leadership/__tests__/primary_right.test.ts
+++ b/packages/core/src/leadership/__tests__/primary_right.test.ts
@@ -46,7 +46,7 @@
 
   // Guards against a promotion while a VM that was not reached still holds a
   // primary lease. Clocks differ, answers are delayed and machines are paused.
-  it('has expired when a VM that waits for it proceeds (seeds 1 to 300)', () => {
+  it('has expired when a VM that waits proceeds (seeds 1 to 300)', () => {
     for (let seed = 1; seed <= 300; seed++) {
       const random = new Random(seed);
       const holder = newClock(random);
--- a/packages/core/src/leadership/store_clock.ts
+++ b/packages/core/src/leadership/store_clock.ts
@@ -23,8 +23,8 @@
 ): StoreClock {
   const minOffset = storeMs - receivedAt;
   const maxOffset = storeMs - sentAt;
-  // If the answer contradicts the bounds, they come from a clock that was wrong,
-  // so only the answer counts.
+  // Bounds that contradict the answer come from a clock that was wrong, so only
+  // the answer counts.
   if (minOffset > clock.maxOffset || maxOffset < clock.minOffset) {
     return {minOffset, maxOffset};
   }
--- a/packages/core/src/membership/merge_change.ts
+++ b/packages/core/src/membership/merge_change.ts
@@ -9,7 +9,7 @@
   left: 3,
 };
 
-/** Merges a received change into a view and queues it for others if it is new. */
+/** Merges a received change into a view; a new one is queued for others. */
 export function mergeChange(
   state: MembershipState,
   change: MembershipChange,
