--- a/packages/core/src/failover/__fixtures__/fake_fleet.ts
+++ b/packages/core/src/failover/__fixtures__/fake_fleet.ts
@@ -440,8 +440,8 @@
     for (const [name, report] of Object.entries(vm.state.reports)) {
       reports[name] = {...report, since: -60_000};
     }
-    const waitedFor = this.rowVersion;
-    vm.state = {...vm.state, reports, notBefore: 0, waitedFor};
+    const awaitedClaimVersion = this.rowVersion;
+    vm.state = {...vm.state, reports, notBefore: 0, awaitedClaimVersion};
     this.send(vm, this.observation(vm));
   }
 
--- a/packages/core/src/failover/advance_attempt.ts
+++ b/packages/core/src/failover/advance_attempt.ts
@@ -30,11 +30,11 @@
   | 'database'
   | 'owner'
   | 'reason'
-  | 'seenTerm'
+  | 'highestSeenTerm'
   | 'members'
   | 'formerPrimary'
   | 'reachable'
-  | 'waitedFor'
+  | 'awaitedClaimVersion'
 >;
 
 /** Starts an attempt; its first action reads the claim row. */
@@ -119,12 +119,12 @@
   if (
     row &&
     !own &&
-    row.term > attempt.seenTerm &&
-    version !== attempt.waitedFor
+    row.term > attempt.highestSeenTerm &&
+    version !== attempt.awaitedClaimVersion
   ) {
     return abandon({...attempt, rowVersion: version}, 'claimed-by-other');
   }
-  const term = Math.max(row?.term ?? 0, attempt.seenTerm) + 1;
+  const term = Math.max(row?.term ?? 0, attempt.highestSeenTerm) + 1;
   return {...attempt, term, row: 'write', rowVersion: version, due: {}};
 }
 
@@ -203,7 +203,7 @@
       // Without the store, the attempt continues unclaimed. This is safe,
       // because in each term only one owner can fence a member.
       return enter(
-        {...attempt, term: attempt.term || attempt.seenTerm + 1},
+        {...attempt, term: attempt.term || attempt.highestSeenTerm + 1},
         'fence',
         now,
       );
--- a/packages/core/src/failover/attempt.ts
+++ b/packages/core/src/failover/attempt.ts
@@ -64,7 +64,7 @@
   /** 0 until the `claim` phase has chosen a term. */
   readonly term: number;
   /** The highest term that this VM had seen when the attempt started. */
-  readonly seenTerm: number;
+  readonly highestSeenTerm: number;
   readonly startedAt: number;
   readonly phaseSince: number;
   readonly members: readonly AttemptMember[];
@@ -76,7 +76,7 @@
   /** The version of the claim row that was last read or written. */
   readonly rowVersion: number;
   /** Version of another VM's claim that was given time to finish. */
-  readonly waitedFor: number;
+  readonly awaitedClaimVersion: number;
   /** The end of the log of each fenced member, by name of the member. */
   readonly fenced: Readonly<Record<string, LogPosition>>;
   /** When a majority of the members was fenced. */
--- a/packages/core/src/failover/decide_failover.ts
+++ b/packages/core/src/failover/decide_failover.ts
@@ -277,13 +277,13 @@
       database: state.database,
       owner: state.owner,
       reason,
-      seenTerm: Math.max(state.highestOwnTerm, ...seenTerms),
+      highestSeenTerm: Math.max(state.highestOwnTerm, ...seenTerms),
       members: state.members,
       formerPrimary: primary?.backendServer ?? '',
       reachable: view.members
         .filter(m => m.reachability === 'reachable')
         .map(m => m.backendServer),
-      waitedFor: state.waitedFor,
+      awaitedClaimVersion: state.awaitedClaimVersion,
     },
     now,
   );
@@ -351,7 +351,9 @@
       highestOwnTerm,
       attempt: undefined,
       notBefore: Math.max(state.notBefore, now + pauseMs),
-      waitedFor: claimedByOther ? attempt.rowVersion : state.waitedFor,
+      awaitedClaimVersion: claimedByOther
+        ? attempt.rowVersion
+        : state.awaitedClaimVersion,
     },
     actions: [{kind: 'ended', attempt}],
   };
--- a/packages/core/src/failover/failover_state.ts
+++ b/packages/core/src/failover/failover_state.ts
@@ -40,7 +40,7 @@
    * Version of another VM's claim that this VM has already given time to
    * finish; 0 if there is none.
    */
-  readonly waitedFor: number;
+  readonly awaitedClaimVersion: number;
   /** When each member was last ordered to follow, by name of the member. */
   readonly ordered: Readonly<Record<string, number>>;
   /** The attempt of this VM that is in progress. */
@@ -100,7 +100,7 @@
     notBefore: 0,
     highestFence: 0,
     highestOwnTerm: 0,
-    waitedFor: 0,
+    awaitedClaimVersion: 0,
     ordered: {},
   };
 }
