--- a/packages/core/src/failover/__fixtures__/fake_fleet.ts
+++ b/packages/core/src/failover/__fixtures__/fake_fleet.ts
@@ -121,8 +121,8 @@
 }
 
 /**
- * Simulates a group of three members and three VMs in virtual time. Each VM and
- * each member is in a data centre of its own.
+ * Simulates a group in virtual time, with one member and one VM in each of three
+ * data centres.
  */
 export class FakeFleet {
   private now = 0;
@@ -309,7 +309,7 @@
     }
   }
 
-  /** Delivers a message to a VM, unless the VM is paused. */
+  /** Delivers a message to a VM; it waits in the inbox during a pause. */
   private send(vm: FakeVm, message: FailoverMessage): void {
     vm.inbox.push(message);
     if (vm.pausedUntil > this.now) return;
--- a/packages/core/src/failover/advance_attempt.ts
+++ b/packages/core/src/failover/advance_attempt.ts
@@ -15,7 +15,7 @@
   STORE_TIMEOUT_MS,
 } from './failover_limits.js';
 
-/** Key of the claim row in `Attempt.due`, beside the names of members. */
+/** The target of calls to the claim row, beside the names of the members. */
 const ROW_TARGET = 'row';
 
 /** An attempt after an event, and the calls that are due. */
--- a/packages/core/src/failover/failover_limits.ts
+++ b/packages/core/src/failover/failover_limits.ts
@@ -4,10 +4,7 @@
 /** Start delay of an attempt for each VM that ranks before this one. */
 export const RANK_DELAY_MS = 400;
 
-/**
- * How long an attempt waits for the table service before it continues without
- * it.
- */
+/** How long an attempt waits for the store before it continues without it. */
 export const STORE_TIMEOUT_MS = 500;
 
 /** How long one phase of an attempt waits for the members. */
--- a/packages/core/src/failover/failover_report.ts
+++ b/packages/core/src/failover/failover_report.ts
@@ -8,7 +8,7 @@
 
 /**
  * A VM's report to the other VMs about a group. It carries ages and no points
- * in time, because the clocks of the VMs are not synchronised.
+ * in time, because VMs do not compare their clocks.
  */
 export interface FailoverReport {
   /**
--- a/packages/core/src/failover/planned_move.ts
+++ b/packages/core/src/failover/planned_move.ts
@@ -12,9 +12,9 @@
 
 /**
  * Decides whether a healthy primary that has to leave can be replaced now. The
- * switchover waits until the VMs hold back new writes, the running ones have
+ * switchover waits until the VMs hold back new writes, all running writes have
  * ended and a member that may be primary holds the whole log. It waits at most
- * `graceMs` for the running ones.
+ * `graceMs` for the running writes.
  */
 export function decideSwitchover(
   view: GroupView,
