--- a/packages/core/src/failover/__fixtures__/fake_fleet.ts
+++ b/packages/core/src/failover/__fixtures__/fake_fleet.ts
@@ -120,10 +120,7 @@
   }
 }
 
-/**
- * Simulates a group in virtual time, with one member and one VM in each of three
- * data centres.
- */
+/** Simulates three data centres in virtual time, each with a member and a VM. */
 export class FakeFleet {
   private now = 0;
   private readonly members = ['m1', 'm2', 'm3'].map(n => new FakeMember(n));
