--- a/packages/gateway/src/daemon/gateway_daemon.ts
+++ b/packages/gateway/src/daemon/gateway_daemon.ts
@@ -55,7 +55,7 @@
 /** The monotonic clock counts from the start of the process. */
 const PROCESS_START_MS = 0;
 
-/** Everything that the gateway uses of the platform on which it runs. */
+/** The adapters through which the gateway uses its platform. */
 export interface GatewayPorts {
   readonly callers: CallerServer;
   readonly links: MemberLinks;
@@ -101,7 +101,10 @@
     private readonly log: Logger,
   ) {
     const suspension = new SuspensionClock(new SystemClocks(), skippedMs => {
-      log.warn({event: 'clock.skipped', skippedMs}, 'machine was suspended');
+      log.warn(
+        {event: 'clock.skipped', skippedMs},
+        'the machine was suspended or its clock was set forward',
+      );
       // Deferred, because this callback runs while the clock is being read.
       setImmediate(() => this.fleet.tell({kind: 'clock-skipped', skippedMs}));
     });
--- a/packages/gateway/src/fleet/share_keeper.ts
+++ b/packages/gateway/src/fleet/share_keeper.ts
@@ -22,8 +22,8 @@
 
 const ALLOCATION_INTERVAL_MS = 2_000;
 /**
- * The interval until the first table is written and while it is uncertain since
- * when a VM is dead.
+ * The interval until the first table is written and while the loss of a VM is
+ * not certain yet.
  */
 const UNSETTLED_ALLOCATION_INTERVAL_MS = 500;
 const PING_TIMEOUT_MS = 400;
--- a/packages/gateway/src/leadership/leadership_task.ts
+++ b/packages/gateway/src/leadership/leadership_task.ts
@@ -41,6 +41,7 @@
 /** A primary is replaced after it was missing from the directory this long. */
 const MISSING_PRIMARY_WAIT_MS = 1_500;
 
+/** Messages that the leadership task handles. */
 export type LeadershipMessage =
   /** This VM has not reached a primary since the given time. */
   | {
--- a/packages/gateway/src/leadership/move.ts
+++ b/packages/gateway/src/leadership/move.ts
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Keeps the former primary if it is reachable again once the partition that
-   * hid it, and the VMs behind it, has healed. A promotion would drop the
-   * commits that it made meanwhile.
+   * Keeps a former primary that a partition hid, if it is reachable again by
+   * the time the VMs behind the partition could be asked to stop. A promotion
+   * would drop the commits that it made meanwhile.
    */
   private async revertIfReachable(
     announced: Announced,
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Records that the group's primary changes. A record that an earlier
-   * coordinator left is taken over.
+   * Writes the record that announces the change, or takes over the one that an
+   * earlier coordinator wrote.
    */
   private async announce(): Promise<Announced | undefined> {
     const {group, from, reason} = this.request;
@@ -119,10 +119,9 @@
   }
 
   /**
-   * Records the former primary again, when no successor can have been promoted.
-   * Another coordinator may have ordered a promotion that takes effect later,
-   * so the coordinator lease must not have changed hands since this change was
-   * announced.
+   * Records the former primary again instead of a successor. Another VM as
+   * coordinator may have ordered a promotion that takes effect later, so the
+   * coordinator lease must not have changed hands since the announcement.
    */
   private async revert(announced: Announced): Promise<MoveOutcome | undefined> {
     const {group, from} = this.request;
@@ -147,11 +146,11 @@
 
   /**
    * Collects reports until a successor can be chosen, promotes and records it.
-   * Records the former primary again if only that one answers.
+   * Records the former primary again if no other member answers.
    */
   private async promoteSuccessor(
     announced: Announced,
-    seen: LogPosition | undefined,
+    lastPosition: LogPosition | undefined,
   ): Promise<MoveOutcome> {
     const {from, reason} = this.request;
     const choosingSince = this.deps.clock();
@@ -164,12 +163,15 @@
       ]);
       const terms = [...reports, ...(former.ok ? [former.value] : [])];
       const highestTerm = Math.max(
-        seen?.term ?? 0,
+        lastPosition?.term ?? 0,
         ...terms.map(item => item.term),
       );
       const required =
         reason === 'leaving'
-          ? laterPosition(seen, former.ok ? former.value.received : undefined)
+          ? laterPosition(
+              lastPosition,
+              former.ok ? former.value.received : undefined,
+            )
           : undefined;
       const choice = chooseSuccessor({
         reports,
@@ -280,8 +282,8 @@
   }
 
   /**
-   * Extends the coordinator lease under the same number. False only if another
-   * VM holds it or wrote its row; a failed write is left to a later try.
+   * Extends the coordinator lease under the same number. Returns false if the
+   * lease is lost: another VM holds it, or its row changed meanwhile.
    */
   private async renewLease(): Promise<boolean> {
     const view = this.deps.view();
@@ -348,7 +350,7 @@
         elapsedMs: Math.round(this.deps.clock() - this.startedAt),
         ...details,
       },
-      'primary change: step completed',
+      'primary change step',
     );
   }
 }
--- a/packages/gateway/src/leadership/vm_stops.ts
+++ b/packages/gateway/src/leadership/vm_stops.ts
@@ -126,7 +126,7 @@
     );
   }
 
-  /** Whether any VM may still hold a lease from before the announcement. */
+  /** Whether any VM may still hold a primary lease as of the announcement. */
   private mayAnyVmUsePrimary(announced: Announced): boolean {
     return mayStillHoldRight(announced.storeMs, this.earliestStoreMs());
   }
--- a/packages/gateway/src/peers/gateway_router.ts
+++ b/packages/gateway/src/peers/gateway_router.ts
@@ -26,6 +26,7 @@
 
 /** The remote procedures that VMs call on each other. */
 export const GATEWAY_ROUTER = t.router({
+  /** Answers at once, which shows that the VM is alive. */
   ping: t.procedure.mutation(() => undefined),
   /** Stops the use of a primary; answers once nothing runs on it any more. */
   stopPrimary: t.procedure
@@ -55,4 +56,5 @@
     ),
 });
 
+/** The router's type, from which the client's calls are typed. */
 export type GatewayRouter = typeof GATEWAY_ROUTER;
--- a/packages/gateway/src/peers/peer_set.ts
+++ b/packages/gateway/src/peers/peer_set.ts
@@ -90,6 +90,7 @@
     return (this.peers.get(vm)?.failures ?? 0) >= MAX_CONSECUTIVE_FAILURES;
   }
 
+  /** Asks a VM to stop using a primary; returns its last log position there. */
   stopPrimary(
     vm: string,
     req: StopRequest,
@@ -98,22 +99,27 @@
     return this.call(vm, timeoutMs, (c, o) => c.stopPrimary.mutate(req, o));
   }
 
+  /** Asks a VM for its primary observation. */
   sight(vm: string, group: string, timeoutMs: number): Answer<PrimarySighting> {
     return this.call(vm, timeoutMs, (c, o) => c.sight.mutate({group}, o));
   }
 
+  /** Asks the coordinator to evaluate a group's primary. */
   suspect(vm: string, group: string, timeoutMs: number): Answer<void> {
     return this.call(vm, timeoutMs, (c, o) => c.suspect.mutate({group}, o));
   }
 
+  /** Checks whether a VM answers. */
   ping(vm: string, timeoutMs: number): Answer<void> {
     return this.call(vm, timeoutMs, (c, o) => c.ping.mutate(undefined, o));
   }
 
+  /** Asks a VM for its copy of the shared rows. */
   relay(vm: string, timeoutMs: number): Answer<RelayedRows | null> {
     return this.call(vm, timeoutMs, (c, o) => c.relay.mutate(undefined, o));
   }
 
+  /** Asks a VM for a state of the operators that is newer than a revision. */
   configuration(
     vm: string,
     newerThan: number,
@@ -124,10 +130,12 @@
     );
   }
 
+  /** Asks a VM for its list of members. */
   directory(vm: string, timeoutMs: number): Answer<RelayedMembers | null> {
     return this.call(vm, timeoutMs, (c, o) => c.directory.mutate(undefined, o));
   }
 
+  /** Asks a VM to transfer tokens of a workspace to this one. */
   tokens(
     vm: string,
     workspace: string,
@@ -139,6 +147,7 @@
     );
   }
 
+  /** Closes all connections to peers. */
   close(): void {
     for (const peer of this.peers.values()) peer.agent.destroy();
     this.peers.clear();
--- a/packages/gateway/src/quota/quota_task.ts
+++ b/packages/gateway/src/quota/quota_task.ts
@@ -279,10 +279,10 @@
       account.donor,
       rateHolders(workspace),
     );
-    const each = tokens / Math.max(1, names.length);
+    const tokensPerPeer = tokens / Math.max(1, names.length);
     for (const from of names) {
       void this.deps.peers
-        .tokens(from, workspace, each, ASK_TIMEOUT_MS)
+        .tokens(from, workspace, tokensPerPeer, ASK_TIMEOUT_MS)
         .then(result =>
           this.tell({
             kind: 'received',
--- a/packages/gateway/src/telemetry/gateway_metrics.ts
+++ b/packages/gateway/src/telemetry/gateway_metrics.ts
@@ -30,23 +30,27 @@
 
   private readonly storeFailures = new Counter({
     name: 'pistachiorill_gateway_store_failures_total',
-    help: 'Calls to the store that failed or got no usable answer, by call.',
+    help: 'Calls to the store without a usable answer, by call.',
     labelNames: ['call'],
     registers: [this.registry],
   });
 
+  /** Records the latency of an answered statement, by its kind of access. */
   answered(access: string, tookMs: number): void {
     this.statementSeconds.observe({access}, tookMs / 1_000);
   }
 
+  /** Counts a refused statement or session. */
   refused(reason: string): void {
     this.refusals.inc({reason});
   }
 
+  /** Counts a primary change that this VM carried out. */
   primaryChanged(outcome: string): void {
     this.changes.inc({outcome});
   }
 
+  /** Counts a call to the store without a usable answer. */
   storeFailed(call: string): void {
     this.storeFailures.inc({call});
   }
