--- a/packages/gateway/src/daemon/gateway_daemon.ts
+++ b/packages/gateway/src/daemon/gateway_daemon.ts
@@ -301,8 +301,8 @@
   private async leave(): Promise<void> {
     // No primary lease may remain in use once this VM's row is removed.
     this.databases.close();
-    const left = ask<void>(reply => this.fleet.tell({kind: 'leave', reply}));
-    await Promise.race([left, sleep(LEAVE_TIMEOUT_MS)]);
+    const removal = ask<void>(reply => this.fleet.tell({kind: 'leave', reply}));
+    await Promise.race([removal, sleep(LEAVE_TIMEOUT_MS)]);
   }
 
   private close(): void {
--- a/packages/gateway/src/fleet/share_keeper.ts
+++ b/packages/gateway/src/fleet/share_keeper.ts
@@ -108,20 +108,20 @@
       return;
     }
     if (!isProven(view(), clock())) return;
-    const shared = Object.keys(rows.shares.value);
-    const all = [...new Set([...names, ...shared])];
+    const sharingVms = Object.keys(rows.shares.value);
+    const all = [...new Set([...names, ...sharingVms])];
     await this.pingAll(all);
-    const at = latestStoreTime(view().storeClock, clock());
+    const latest = latestStoreTime(view().storeClock, clock());
     const earliest = earliestStoreTime(view().storeClock, clock());
     const lost = all.filter(name => this.isPresumedDead(name));
     const next = nextShares(rows.shares.value, {
       present: names.filter(name => !lost.includes(name)),
       lost,
-      at,
+      at: latest,
       isExpired: lostBy => !mayStillHoldRight(lostBy, earliest),
     });
     if (!next) return;
-    const expired = shared.filter(name => !next[name]);
+    const expired = sharingVms.filter(name => !next[name]);
     await this.write(next, rows.shares.version, expired);
   }
 
--- a/packages/gateway/src/leadership/__tests__/move.test.ts
+++ b/packages/gateway/src/leadership/__tests__/move.test.ts
@@ -21,7 +21,7 @@
  * is rejected or loses its answer.
  */
 class FakeOrders extends PrimaryOrders {
-  readonly orders: string[] = [];
+  readonly received: string[] = [];
   faultMode: OrderFaultMode = 'done';
 
   constructor(private readonly group: FakeGroup) {
@@ -29,7 +29,7 @@
   }
 
   override async promote({member, holder, fence}: PromotionOrder) {
-    this.orders.push(`${member} by ${holder}, ${fence}`);
+    this.received.push(`${member} by ${holder}, ${fence}`);
     const {faultMode} = this;
     this.faultMode = 'done';
     const err: OrderError = {kind: 'rejected', detail: 'not running'};
@@ -112,7 +112,7 @@
   );
   const result = async () => ({
     outcome: await change.run(4),
-    orders: orders.orders,
+    orders: orders.received,
     record: store.rows.get('leadership/wash')?.value,
   });
   return {fake, store, peers, orders, offset, verdicts, clock, result};
@@ -216,7 +216,7 @@
     started.peers.silent.add('vm-c');
     const running = started.result();
     await new Promise(resolve => setTimeout(resolve, 400));
-    const early = [...started.orders.orders];
+    const early = [...started.orders.received];
     started.offset.ms = 10_500;
     const {outcome, orders} = await running;
     expect({
@@ -252,7 +252,7 @@
       }
       peers.silent.clear();
       const {outcome, record} = await running;
-      expect({outcome, record, orders: orders.orders}).toMatchSnapshot();
+      expect({outcome, record, orders: orders.received}).toMatchSnapshot();
     },
   );
 
@@ -304,7 +304,7 @@
       store.put('shares', {'vm-b': entry});
       const running = started.result();
       await new Promise(resolve => setTimeout(resolve, 2_000));
-      const early = orders.orders.length;
+      const early = orders.received.length;
       offset.ms = 10_500;
       const {outcome} = await running;
       expect({early, outcome}).toMatchSnapshot();
--- a/packages/gateway/src/quota/workspace_shares.ts
+++ b/packages/gateway/src/quota/workspace_shares.ts
@@ -17,9 +17,10 @@
       this.table = table;
       this.rateHolders.clear();
     }
-    const known = this.rateHolders.get(workspace) ?? homesOf(table, workspace);
-    this.rateHolders.set(workspace, known);
-    return known;
+    const holders =
+      this.rateHolders.get(workspace) ?? homesOf(table, workspace);
+    this.rateHolders.set(workspace, holders);
+    return holders;
   }
 
   /** Returns this VM's share of a workspace's rate, in parts per million. */
