--- a/packages/gateway/src/peers/peer_set.ts
+++ b/packages/gateway/src/peers/peer_set.ts
@@ -15,7 +15,7 @@
 import type {RelayedConfiguration} from './gateway_handlers.js';
 import type {GatewayRouter, StopRequest} from './gateway_router.js';
 
-/** Where a VM listens for its peers. */
+/** The address where a VM listens for its peers. */
 export interface PeerAddress {
   readonly vm: string;
   readonly address: string;
@@ -31,11 +31,14 @@
 
 type Answer<T> = Promise<Result<T, PeerError>>;
 
-/** Failures in a row after which a peer is asked only when it must be. */
-const FAILURE_LIMIT = 2;
+/**
+ * After this many failures in a row a peer counts as unresponsive; it is then
+ * sampled last.
+ */
+const MAX_CONSECUTIVE_FAILURES = 2;
 const IDLE_TIMEOUT_MS = 30_000;
 
-/** Calls the other VMs. */
+/** Calls the remote procedures of the other registered VMs. */
 export class PeerSet {
   private readonly peers = new Map<string, Peer>();
 
@@ -46,7 +49,7 @@
     return [...this.peers.keys()];
   }
 
-  /** Takes over the registered VMs. */
+  /** Replaces the set of peers; keeps connections to unchanged addresses. */
   update(addresses: readonly PeerAddress[]): void {
     const listed = new Map(addresses.map(item => [item.vm, item.address]));
     for (const [vm, peer] of this.peers) {
@@ -59,7 +62,10 @@
     }
   }
 
-  /** Picks peers at random, `among` some if given; a preferred one and those that answer go first. */
+  /**
+   * Picks peers at random, only from `among` if given. The preferred peer and
+   * responsive ones come first.
+   */
   sample(
     count: number,
     preferred: string | undefined,
@@ -71,7 +77,7 @@
         vm,
         rank:
           (vm === preferred ? -1 : 0) +
-          (peer.failures >= FAILURE_LIMIT ? 1 : 0) +
+          (peer.failures >= MAX_CONSECUTIVE_FAILURES ? 1 : 0) +
           this.random.fraction() / 2,
       }))
       .sort((a, b) => a.rank - b.rank)
@@ -79,11 +85,12 @@
     return names.slice(0, count);
   }
 
-  /** Whether the last calls to a peer went without an answer. */
+  /** Whether the last calls to a peer got no answer. */
   isSilent(vm: string): boolean {
-    return (this.peers.get(vm)?.failures ?? 0) >= FAILURE_LIMIT;
+    return (this.peers.get(vm)?.failures ?? 0) >= MAX_CONSECUTIVE_FAILURES;
   }
 
+  /** Asks a VM to stop using a primary; returns its last log position there. */
   stopPrimary(
     vm: string,
     req: StopRequest,
@@ -92,22 +99,27 @@
     return this.call(vm, timeoutMs, (c, o) => c.stopPrimary.mutate(req, o));
   }
 
+  /** Asks a VM for its primary observation. */
   sight(vm: string, group: string, timeoutMs: number): Answer<PrimarySighting> {
     return this.call(vm, timeoutMs, (c, o) => c.sight.mutate({group}, o));
   }
 
+  /** Asks the coordinator to evaluate a group's primary. */
   suspect(vm: string, group: string, timeoutMs: number): Answer<void> {
     return this.call(vm, timeoutMs, (c, o) => c.suspect.mutate({group}, o));
   }
 
+  /** Checks whether a VM answers. */
   ping(vm: string, timeoutMs: number): Answer<void> {
     return this.call(vm, timeoutMs, (c, o) => c.ping.mutate(undefined, o));
   }
 
+  /** Asks a VM for its copy of the shared rows. */
   relay(vm: string, timeoutMs: number): Answer<RelayedRows | null> {
     return this.call(vm, timeoutMs, (c, o) => c.relay.mutate(undefined, o));
   }
 
+  /** Asks a VM for a state of the operators that is newer than a revision. */
   configuration(
     vm: string,
     newerThan: number,
@@ -118,10 +130,12 @@
     );
   }
 
+  /** Asks a VM for its list of members. */
   directory(vm: string, timeoutMs: number): Answer<RelayedMembers | null> {
     return this.call(vm, timeoutMs, (c, o) => c.directory.mutate(undefined, o));
   }
 
+  /** Asks a VM to transfer tokens of a workspace to this one. */
   tokens(
     vm: string,
     workspace: string,
@@ -133,6 +147,7 @@
     );
   }
 
+  /** Closes all connections to peers. */
   close(): void {
     for (const peer of this.peers.values()) peer.agent.destroy();
     this.peers.clear();
--- a/packages/gateway/src/telemetry/gateway_metrics.ts
+++ b/packages/gateway/src/telemetry/gateway_metrics.ts
@@ -1,8 +1,8 @@
 import {Counter, Histogram, Registry} from 'prom-client';
 
-const BUCKETS_S = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 2, 6];
+const LATENCY_BUCKETS_S = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 2, 6];
 
-/** Counters and latencies of one VM. */
+/** Prometheus metrics of one VM. */
 export class GatewayMetrics {
   readonly registry = new Registry();
 
@@ -10,7 +10,7 @@
     name: 'pistachiorill_gateway_statement_seconds',
     help: 'Time from the arrival of a statement to its answer.',
     labelNames: ['access'],
-    buckets: BUCKETS_S,
+    buckets: LATENCY_BUCKETS_S,
     registers: [this.registry],
   });
 
@@ -23,7 +23,7 @@
 
   private readonly changes = new Counter({
     name: 'pistachiorill_gateway_primary_changes_total',
-    help: 'Changes of primary that this VM carried out, by outcome.',
+    help: 'Primary changes that this VM carried out, by outcome.',
     labelNames: ['outcome'],
     registers: [this.registry],
   });
@@ -35,18 +35,22 @@
     registers: [this.registry],
   });
 
+  /** Records the latency of an answered statement, by its kind of access. */
   answered(access: string, tookMs: number): void {
     this.statementSeconds.observe({access}, tookMs / 1_000);
   }
 
+  /** Counts a refused statement or session. */
   refused(reason: string): void {
     this.refusals.inc({reason});
   }
 
+  /** Counts a primary change that this VM carried out. */
   primaryChanged(outcome: string): void {
     this.changes.inc({outcome});
   }
 
+  /** Counts a call to the store without a usable answer. */
   storeFailed(call: string): void {
     this.storeFailures.inc({call});
   }
