--- a/packages/core/src/routing/__tests__/age_bound.test.ts
+++ b/packages/core/src/routing/__tests__/age_bound.test.ts
@@ -33,9 +33,9 @@
   {sentAt: 400, end: {term: 2, position: 1}, proof: 'proven'},
 ];
 
-// Guards against an age that is stated too low, which makes stale reads.
+// Guards against an age bound that is too low, which allows stale reads.
 describe('ageBound', () => {
-  it('uses the newest proven sample that the member covers', () => {
+  it('uses the newest proven sample that the member has applied', () => {
     const ages = [4, 5, 7, 8, 9].map(position => [
       position,
       ageBound(member(position), LOG, 1_000) ?? 'unknown',
@@ -43,10 +43,10 @@
     expect(Object.fromEntries(ages)).toMatchSnapshot();
   });
 
-  it('knows nothing without a state or samples', () => {
-    const silent = {...member(9), state: undefined} as unknown as MemberView;
+  it('gives no bound without a member state or samples', () => {
+    const unpolled = {...member(9), state: undefined} as unknown as MemberView;
     expect([
-      ageBound(silent, LOG, 1_000) ?? 'unknown',
+      ageBound(unpolled, LOG, 1_000) ?? 'unknown',
       ageBound(member(9), [], 1_000) ?? 'unknown',
     ]).toMatchSnapshot();
   });
--- a/packages/core/src/routing/__tests__/held_by_majority.test.ts
+++ b/packages/core/src/routing/__tests__/held_by_majority.test.ts
@@ -2,13 +2,17 @@
 import {isHeldByMajority} from '../freshness.js';
 import type {GroupView} from '../group_view.js';
 
-type Held = readonly [memberTerm: number, logTerm: number, position: number];
+type MemberLog = readonly [
+  memberTerm: number,
+  logTerm: number,
+  position: number,
+];
 
 const ENTRY = {term: 1, position: 5};
 
-const CASES: ReadonlyArray<readonly [string, readonly Held[]]> = [
+const CASES: ReadonlyArray<readonly [string, readonly MemberLog[]]> = [
   [
-    'two of three hold it in its term',
+    'true if two of three members hold the entry in its term',
     [
       [1, 1, 5],
       [1, 1, 7],
@@ -16,17 +20,17 @@
     ],
   ],
   [
-    'only the primary holds it',
+    'false if only the primary holds the entry',
     [
       [1, 1, 5],
       [1, 1, 4],
       [1, 1, 4],
     ],
   ],
-  // A member whose log ends in term 2 would win the next promotion and drop
-  // the entry, although two members hold it.
+  // The member whose log ends in term 2 would be promoted next and drop the
+  // entry, although two members hold it.
   [
-    'a primary of term 3 passed it on',
+    'false if a primary of term 3 replicated an entry of term 1',
     [
       [3, 1, 5],
       [3, 1, 5],
@@ -36,11 +40,12 @@
 ];
 
 describe('isHeldByMajority', () => {
-  // Guards against an acknowledged write that a later promotion drops.
-  it.each(CASES)('%s', (unusedName, held) => {
+  // Guards against the acknowledgement of a write that a later promotion can
+  // drop.
+  it.each(CASES)('%s', (unusedName, logs) => {
     const view: GroupView = {
       database: 'ledger',
-      members: held.map(([term, logTerm, position], index) => ({
+      members: logs.map(([term, logTerm, position], index) => ({
         backendServer: `m${index}`,
         dataCentre: 'a',
         reachability: 'reachable',
--- a/packages/core/src/routing/__tests__/position_samples.test.ts
+++ b/packages/core/src/routing/__tests__/position_samples.test.ts
@@ -8,25 +8,26 @@
 import {rankForRead} from '../rank_members.js';
 import type {MemberLoad} from '../rank_members.js';
 
-function at(askedAt: number, term: number, position: number) {
+function sampleAt(askedAt: number, term: number, position: number) {
   return {askedAt, end: {term, position}};
 }
 
-const SAMPLES = [at(100, 3, 10), at(600, 3, 14), at(1_100, 3, 20)].reduce(
-  addPositionSample,
-  [] as PositionSamples,
-);
+const SAMPLES = [
+  sampleAt(100, 3, 10),
+  sampleAt(600, 3, 14),
+  sampleAt(1_100, 3, 20),
+].reduce(addPositionSample, [] as PositionSamples);
 
 describe('position samples', () => {
   // Guards against a read of data that is older than its route allows.
-  it('demand the oldest sample within the age', () => {
+  it('require the position of the oldest sample within the maximum age', () => {
     expect({
       recent: requiredPosition(SAMPLES, 1_500, 1_600),
       older: requiredPosition(SAMPLES, 600, 1_600),
       tooOld: requiredPosition(SAMPLES, 300, 1_600),
       none: requiredPosition([], 1_500, 1_600),
-      newTerm: addPositionSample(SAMPLES, at(1_200, 4, 2)),
-      formerTerm: addPositionSample(SAMPLES, at(1_200, 2, 99)).length,
+      newTerm: addPositionSample(SAMPLES, sampleAt(1_200, 4, 2)),
+      formerTerm: addPositionSample(SAMPLES, sampleAt(1_200, 2, 99)).length,
       ownCommit: laterPosition(
         {term: 3, position: 14},
         {term: 3, position: 17},
@@ -52,8 +53,9 @@
 };
 
 describe('rankForRead', () => {
-  // Guards against reads at members that are far, busy, behind or failing.
-  it('orders by the expected time', () => {
+  // Guards against reads on members that are far, busy, behind or failing while
+  // a better member is available.
+  it('orders members by expected cost', () => {
     const members: MemberLoad[] = [
       {...LOAD, member: 'primary', role: 'primary'},
       {...LOAD, member: 'near'},
--- a/packages/core/src/routing/__tests__/replica_first_policy.test.ts
+++ b/packages/core/src/routing/__tests__/replica_first_policy.test.ts
@@ -52,7 +52,7 @@
   return {database: 'ledger', members};
 }
 
-/** A log in which the primary ended at 5 at 9,000 and at 8 at 9,900. */
+/** The primary's log ends at position 5 at 9,000 ms and at 8 at 9,900 ms. */
 function freshness(group: GroupView): FreshnessLog {
   let log = recordPrimarySample([], {
     sentAt: 9_000,
@@ -79,26 +79,30 @@
 const CASES: ReadonlyArray<
   readonly [string, GroupView, Partial<MemberRequest>]
 > = [
-  ['recent replica', GROUP, {}],
-  ['current data', GROUP, {maxAgeMs: 0}],
-  ['a write', GROUP, {access: 'write'}],
-  ['token that cannot be verified', GROUP, {requirement: {kind: 'unknown'}}],
+  ['sends a read to a fresh replica', GROUP, {}],
+  ['sends a read of current data to the primary', GROUP, {maxAgeMs: 0}],
+  ['sends a write to the primary', GROUP, {access: 'write'}],
   [
-    'token ahead of every replica',
+    'sends a read with an unverified token to the primary',
+    GROUP,
+    {requirement: {kind: 'unknown'}},
+  ],
+  [
+    'uses the primary if the session is ahead of every replica',
     GROUP,
     {requirement: {kind: 'at-least', position: {term: 1, position: 9}}},
   ],
   [
-    'token ahead, time left to wait',
+    'waits for a replica that is behind the session while time is left',
     GROUP,
     {
       requirement: {kind: 'at-least', position: {term: 1, position: 9}},
       replicaWaitUntil: NOW + 1,
     },
   ],
-  ['avoided replica', GROUP, {avoid: ['b']}],
+  ['skips a replica to avoid', GROUP, {avoid: ['b']}],
   [
-    'leaving replica',
+    'skips a replica that accepts no new statements',
     view(
       member('a', 'primary', 8),
       member('b', 'replica', 8, {accepting: false}),
@@ -107,7 +111,7 @@
     {},
   ],
   [
-    'unreachable replica',
+    'skips an unreachable replica',
     view(
       member('a', 'primary', 8),
       member('b', 'replica', 8, {reachability: 'unreachable'}),
@@ -116,7 +120,7 @@
     {},
   ],
   [
-    'primary fenced by a majority: no age is proven',
+    'skips replicas while a majority is fenced, as no age is proven',
     view(
       member('a', 'primary', 8),
       member('b', 'replica', 8, {fencedTerm: 2}),
@@ -125,7 +129,7 @@
     {},
   ],
   [
-    'old primary beside a newer one',
+    'uses the primary with the higher term',
     view(
       member('a', 'primary', 8, {reachability: 'unreachable'}),
       member('b', 'primary', 9, {term: 2, fencedTerm: 2}),
@@ -134,7 +138,7 @@
     {access: 'write'},
   ],
   [
-    'unreachable primary',
+    'waits while the primary is unreachable',
     view(
       member('a', 'primary', 8, {reachability: 'unreachable'}),
       member('b', 'replica', 8),
@@ -145,8 +149,8 @@
 ];
 
 describe('ReplicaFirstPolicy', () => {
-  // Guards against a read on a replica that is too old for its session or its
-  // route, and against a statement on a replaced primary.
+  // Guards against a read on a replica whose data is too old for the session or
+  // the route, and against a statement on a replaced primary.
   it.each(CASES)('%s', (unusedName, group, change) => {
     const choice = new ReplicaFirstPolicy().choose(
       {...READ, ...change},
@@ -160,9 +164,9 @@
 });
 
 describe('isHeldByMajority', () => {
-  // Guards against a write that is acknowledged while only the isolated
-  // primary holds it, or by entries of another term at the same index.
-  it('counts members that received the entry in its own term', () => {
+  // Guards against the acknowledgement of a write that only an isolated primary
+  // holds, and against counting an entry of another term at the same position.
+  it('counts members that received the entry in its term', () => {
     const entry = {term: 1, position: 8};
     expect({
       primaryOnly: isHeldByMajority(
--- a/packages/core/src/routing/freshness.ts
+++ b/packages/core/src/routing/freshness.ts
@@ -3,21 +3,27 @@
 import {majorityOf} from './group_view.js';
 import type {GroupView, MemberView} from './group_view.js';
 
-/** How many polls of the primary are remembered. */
+/** The number of polls of the primary that are kept. */
 const MAX_SAMPLES = 64;
 
-/** The end of the primary's log, as a poll sent at `sentAt` found it. */
+/** The end of the primary's log, as reported by a poll sent at `sentAt`. */
 export interface PrimarySample {
   readonly sentAt: number;
   readonly end: LogPosition;
-  /** Whether a majority was later found unfenced above the sample's term. */
+  /**
+   * `proven` once polls sent at or after `sentAt` have found a majority of the
+   * members not fenced above the term of `end`.
+   */
   readonly proof: 'pending' | 'proven';
 }
 
 /** Polls of the primary, oldest first. */
 export type FreshnessLog = readonly PrimarySample[];
 
-/** Adds a poll of the primary and proves samples as far as the view allows. */
+/**
+ * Appends a poll of the primary as a pending sample and drops the oldest
+ * samples beyond the limit.
+ */
 export function recordPrimarySample(
   log: FreshnessLog,
   sample: {readonly sentAt: number; readonly end: LogPosition},
@@ -26,9 +32,10 @@
 }
 
 /**
- * Marks samples as proven. A sample holds only if no newer primary existed when
- * its poll was sent. A promotion needs a fenced majority first, so a majority
- * that is unfenced at a later poll rules it out.
+ * Marks the pending samples that the view proves. A sample is valid only if no
+ * newer primary existed when its poll was sent. A promotion first fences a
+ * majority, so a majority that is still unfenced in polls sent at the same time
+ * or later rules out a newer primary.
  */
 export function proveSamples(log: FreshnessLog, view: GroupView): FreshnessLog {
   return log.map(sample =>
@@ -39,7 +46,10 @@
   );
 }
 
-/** Whether polls sent at or after `since` show a majority not fenced above `term`. */
+/**
+ * Returns whether polls sent at or after `since` show a majority of the members
+ * not fenced above `term`.
+ */
 export function isMajorityUnfenced(
   view: GroupView,
   term: number,
@@ -55,10 +65,10 @@
 }
 
 /**
- * Whether a majority of the members received an entry while they operate in
- * its term. An entry of an older term that a later primary passes on does not
- * count: a member whose log ends in a term between the two may still win the
- * next promotion and drop it.
+ * Returns whether a majority of the members operate in the term of a log entry
+ * and have received the entry. An entry of an older term that a later primary
+ * replicates does not count: a member whose log ends in a term between the two
+ * can still be promoted next and drop the entry.
  */
 export function isHeldByMajority(view: GroupView, entry: LogPosition): boolean {
   const holders = view.members.filter(
@@ -72,8 +82,9 @@
 }
 
 /**
- * Returns an upper bound in milliseconds for the age of a member's data, or
- * undefined when nothing is proven.
+ * Returns an upper bound, in milliseconds, for the age of a member's data. The
+ * bound is the age of the newest proven sample whose log end the member has
+ * applied. Returns undefined if there is no such sample.
  */
 export function ageBound(
   member: MemberView,
--- a/packages/core/src/routing/group_view.ts
+++ b/packages/core/src/routing/group_view.ts
@@ -1,36 +1,38 @@
 import type {MemberState} from './member_state.js';
 
+/** Whether a VM can reach a member; `unknown` before the first poll. */
 export type Reachability = 'reachable' | 'unreachable' | 'unknown';
 
-/** One VM's latest knowledge of a member. */
+/** The latest observation of a member by one VM. */
 export interface MemberView {
   readonly backendServer: string;
   readonly dataCentre: string;
   readonly reachability: Reachability;
   /** When the reachability last changed. */
   readonly reachabilitySince: number;
-  /** The last state reply, if there was one since the VM started. */
+  /** The state in the last reply, if one was received since the VM started. */
   readonly state?: MemberState;
-  /** When the poll that produced `state` was sent. */
+  /** When the poll that returned `state` was sent. */
   readonly polledAt: number;
-  /** Whether the member may get new statements. */
+  /** Whether new statements may be sent to the member. */
   readonly accepting: boolean;
 }
 
-/** One VM's latest knowledge of a database group. */
+/** The latest observation of a database group by one VM. */
 export interface GroupView {
   readonly database: string;
   readonly members: readonly MemberView[];
 }
 
-/** The number of members that form a majority of a group. */
+/** Returns the number of members that form a majority of a group. */
 export function majorityOf(memberCount: number): number {
   return Math.floor(memberCount / 2) + 1;
 }
 
 /**
- * Returns the member that acts as primary in the highest term reported, or
- * undefined while a higher term is fenced and nobody was promoted in it.
+ * Returns the primary with the highest reported term, without those that are
+ * fenced above their own term. Returns undefined if no primary is left, such as
+ * when the primary is fenced and no other member is promoted yet.
  */
 export function currentPrimary(view: GroupView): MemberView | undefined {
   let best: MemberView | undefined;
--- a/packages/core/src/routing/outlier.ts
+++ b/packages/core/src/routing/outlier.ts
@@ -1,24 +1,33 @@
-const FAILURE_LIMIT = 5;
+/** Consecutive transport errors after which a member is ejected. */
+const MAX_CONSECUTIVE_FAILURES = 5;
+/** Each further ejection doubles the time, up to `MAX_EJECTION_MS`. */
 const FIRST_EJECTION_MS = 500;
 const MAX_EJECTION_MS = 30_000;
 
-/** What is remembered of a member's transport errors. */
+/** The transport errors of a member since its last answer. */
 export interface MemberHealth {
+  /** Transport errors since the last answer or ejection. */
   readonly consecutiveFailures: number;
+  /** Ejections since the last answer. */
   readonly ejections: number;
-  /** Until when the member gets no new statements. */
+  /** The time until which the member gets no new statements. */
   readonly ejectedUntil: number;
 }
 
+/** The health of a member without transport errors. */
 export const HEALTHY: MemberHealth = {
   consecutiveFailures: 0,
   ejections: 0,
   ejectedUntil: 0,
 };
 
+/** How an attempt ended, as far as it concerns the connection to the member. */
 export type AttemptOutcome = 'answered' | 'transport-error';
 
-/** Updates a member's health after an attempt. */
+/**
+ * Updates a member's health after an attempt: an answer resets it, and too many
+ * consecutive transport errors eject the member for a time.
+ */
 export function afterAttempt(
   health: MemberHealth,
   outcome: AttemptOutcome,
@@ -26,7 +35,7 @@
 ): MemberHealth {
   if (outcome === 'answered') return HEALTHY;
   const consecutiveFailures = health.consecutiveFailures + 1;
-  if (consecutiveFailures < FAILURE_LIMIT) {
+  if (consecutiveFailures < MAX_CONSECUTIVE_FAILURES) {
     return {...health, consecutiveFailures};
   }
   const durationMs = Math.min(
@@ -41,8 +50,9 @@
 }
 
 /**
- * Returns the members to avoid now. At most half of a group is ejected, since
- * errors of most members point to a fault that avoiding them does not cure.
+ * Returns the names of the members to avoid now, those with the longest
+ * remaining ejection first. At most half of a group is ejected: errors on most
+ * members point to a fault that avoiding them does not cure.
  */
 export function ejectedMembers(
   health: ReadonlyMap<string, MemberHealth>,
--- a/packages/core/src/routing/position_samples.ts
+++ b/packages/core/src/routing/position_samples.ts
@@ -1,24 +1,28 @@
 import {compareLogPosition} from '../session/log_position.js';
 import type {LogPosition} from '../session/log_position.js';
 
-/** How many samples are remembered; at 20 a second they cover over 6 s. */
+/** The number of samples kept; at 20 samples a second they cover over 6 s. */
 const MAX_SAMPLES = 128;
-/** Samples closer than this to the last one add nothing. */
+/** A sample that follows the last one more closely than this is dropped. */
 const MIN_SPACING_MS = 50;
 
 /**
- * The end of the primary's log as an answer reported it. Every commit that was
- * acknowledged before `askedAt` is at or before `end`.
+ * The end of the primary's log, as reported in one of its answers. Every commit
+ * that was acknowledged before the request was sent is at or before `end`.
  */
 export interface PositionSample {
+  /** When the request that the primary answered was sent. */
   readonly askedAt: number;
   readonly end: LogPosition;
 }
 
-/** Samples of one primary, oldest first. */
+/** Samples of one primary in one term, oldest first. */
 export type PositionSamples = readonly PositionSample[];
 
-/** Adds an answer of the primary; one of another term starts anew. */
+/**
+ * Adds a sample. A sample of a later term replaces all earlier ones, and a
+ * sample of an earlier term is dropped.
+ */
 export function addPositionSample(
   samples: PositionSamples,
   sample: PositionSample,
@@ -32,8 +36,8 @@
 }
 
 /**
- * Returns the lowest log position that holds every commit acknowledged up to
- * `maxAgeMs` before `now`, or undefined when no sample is recent enough.
+ * Returns the lowest sampled log position that covers every commit acknowledged
+ * up to `maxAgeMs` before `now`, or undefined if no sample is recent enough.
  */
 export function requiredPosition(
   samples: PositionSamples,
@@ -44,8 +48,9 @@
 }
 
 /**
- * Combines the position that an age demands with the last commit of the
- * session. A position of a later term covers all of an earlier one.
+ * Returns the later of two log positions, such as the position that a maximum
+ * age requires and the last commit of the session. A position of a later term
+ * covers every position of an earlier term.
  */
 export function laterPosition(
   a: LogPosition,
--- a/packages/core/src/routing/primary_only_policy.ts
+++ b/packages/core/src/routing/primary_only_policy.ts
@@ -5,7 +5,10 @@
 import {ReadPolicy} from './read_policy.js';
 import type {MemberChoice, MemberRequest} from './read_policy.js';
 
-/** Sends every statement to the primary. Writes use it, and it is the baseline. */
+/**
+ * Sends every statement to the primary. Writes always use this policy, and it
+ * is the baseline that the other read policies are compared with.
+ */
 export class PrimaryOnlyPolicy extends ReadPolicy {
   override choose(
     unusedRequest: MemberRequest,
@@ -16,7 +19,7 @@
   ): MemberChoice {
     const primary = currentPrimary(view);
     // An unreachable primary may be replaced at any time, so statements wait
-    // for the next poll in place of failing one by one.
+    // for the next poll instead of failing one by one.
     const usable =
       primary?.accepting === true && primary.reachability === 'reachable';
     if (!primary?.state || !usable) {
--- a/packages/core/src/routing/read_policy.ts
+++ b/packages/core/src/routing/read_policy.ts
@@ -4,18 +4,19 @@
 import type {GroupView} from './group_view.js';
 import type {Access} from './route.js';
 
-/** What a statement asks of the member that executes it. */
+/** The conditions that a statement sets for the member that executes it. */
 export interface MemberRequest {
   readonly access: Access;
+  /** The maximum age of the data; 0 requires current data. */
   readonly maxAgeMs: number;
   readonly requirement: SessionRequirement;
-  /** When the statement stops waiting for a replica and takes the primary. */
+  /** When the statement stops waiting for a replica and uses the primary. */
   readonly replicaWaitUntil: number;
-  /** Members that are avoided because their connections failed. */
+  /** Members to avoid because connections to them failed. */
   readonly avoid: readonly string[];
 }
 
-/** Where a statement goes. */
+/** The member to send a statement to, or the reason to wait for one. */
 export type MemberChoice =
   | {
       readonly kind: 'use';
@@ -25,8 +26,9 @@
     }
   | {readonly kind: 'wait'; readonly reason: 'replica-behind' | 'no-primary'};
 
-/** Chooses a member from the present view of a group. */
+/** Chooses a member from the current view of a group. */
 export abstract class ReadPolicy {
+  /** `now` is in milliseconds of the monotonic clock that the view uses. */
   abstract choose(
     request: MemberRequest,
     view: GroupView,
--- a/packages/core/src/routing/replica_first_policy.ts
+++ b/packages/core/src/routing/replica_first_policy.ts
@@ -10,8 +10,10 @@
 
 /**
  * Sends a read to a replica whose data provably satisfies the session and the
- * permitted age, since the primary's slots are needed for writes. Reads of
- * current data and writes go to the primary.
+ * maximum age, because the slots of the primary are needed for writes. If there
+ * is none, the read waits for a replica until `replicaWaitUntil` and then uses
+ * the primary. Writes, reads of current data and reads whose session
+ * requirement is unknown go to the primary.
  */
 export class ReplicaFirstPolicy extends ReadPolicy {
   private readonly primaryOnly = new PrimaryOnlyPolicy();
