--- a/packages/core/src/common/filter.ts
+++ b/packages/core/src/common/filter.ts
@@ -1,9 +1,9 @@
 import type {Result} from './result.js';
 
 /**
- * One step of a pipeline. A filter has one input and one output type and keeps
- * no reference to the filters beside it, so each can be tested and replaced on
- * its own.
+ * One step of a pipeline. A filter has one input type and one output type and
+ * keeps no reference to its neighbours, so each filter can be tested and
+ * replaced on its own.
  */
 export abstract class Filter<I, O, E> {
   abstract readonly name: string;
--- a/packages/core/src/common/random.ts
+++ b/packages/core/src/common/random.ts
@@ -2,8 +2,8 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
 /**
- * A seeded random generator. Decisions take it as an argument, so that a run
- * can be repeated from its seed.
+ * A seeded random number generator. Decisions receive it as an argument, so a
+ * run can be reproduced from its seed.
  */
 export class Random {
   private readonly generator;
@@ -12,17 +12,17 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** Returns an integer from `min` to `max`, both included. */
+  /** Returns an integer from `min` to `max`, both inclusive. */
   integer(min: number, max: number): number {
     return uniformInt(this.generator, min, max);
   }
 
-  /** Returns a number from 0 (included) to 1 (excluded). */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   fraction(): number {
     return this.integer(0, 0x3fffffff) / 0x40000000;
   }
 
-  /** Returns one item, or undefined for an empty list. */
+  /** Returns a random item, or undefined for an empty list. */
   pick<T>(items: readonly T[]): T | undefined {
     if (items.length === 0) return undefined;
     return items[this.integer(0, items.length - 1)];
--- a/packages/core/src/common/rendezvous.ts
+++ b/packages/core/src/common/rendezvous.ts
@@ -1,15 +1,16 @@
 import murmurhash from 'murmurhash';
 
 /**
- * Orders nodes by their rendezvous (highest random weight) score for a key.
- * A node that joins or leaves moves only the keys that it gains or loses.
+ * Orders candidates by their rendezvous (highest random weight) score for a
+ * key, the highest first. When a candidate is added or removed, only the keys
+ * for which it is the first are reassigned.
  */
 export function rendezvousOrder(
   key: string,
-  nodes: readonly string[],
+  candidates: readonly string[],
 ): string[] {
-  return nodes
-    .map(node => ({node, score: murmurhash.v3(`${key}\u0000${node}`)}))
-    .sort((a, b) => b.score - a.score || (a.node < b.node ? -1 : 1))
-    .map(entry => entry.node);
+  return candidates
+    .map(name => ({name, score: murmurhash.v3(`${key}\u0000${name}`)}))
+    .sort((a, b) => b.score - a.score || (a.name < b.name ? -1 : 1))
+    .map(entry => entry.name);
 }
--- a/packages/core/src/common/representatives.ts
+++ b/packages/core/src/common/representatives.ts
@@ -1,18 +1,19 @@
 import {rendezvousOrder} from './rendezvous.js';
 
-/** In fleets up to this size every VM does what is asked. */
-const WHOLE_FLEET_LIMIT = 12;
-/** VMs that do it for all in a larger fleet. */
+/** In a fleet of up to this many VMs, every VM is a representative. */
+const MAX_VMS_WITHOUT_SELECTION = 12;
+/** The number of representatives in a larger fleet. */
 const REPRESENTATIVE_COUNT = 8;
 
 /**
- * The VMs that do something for the whole fleet: all of a small one, and a few
- * of a large one, chosen by a key so that keys spread over the fleet.
+ * Returns the VMs that perform a task on behalf of the whole fleet: all VMs of
+ * a small fleet, and a few of a large one. These are selected by a key, so that
+ * the tasks of different keys spread over the fleet.
  */
 export function representativesOf(
   key: string,
   vms: readonly string[],
 ): readonly string[] {
-  if (vms.length <= WHOLE_FLEET_LIMIT) return vms;
+  if (vms.length <= MAX_VMS_WITHOUT_SELECTION) return vms;
   return rendezvousOrder(key, vms).slice(0, REPRESENTATIVE_COUNT);
 }
--- a/packages/core/src/common/result.ts
+++ b/packages/core/src/common/result.ts
@@ -1,4 +1,7 @@
-/** The outcome of a step that can fail: a value, or an error of its layer. */
+/**
+ * The outcome of a step that can fail: a value, or an error that the layer of
+ * the step defines.
+ */
 export type Result<T, E> =
   | {readonly ok: true; readonly value: T}
   | {readonly ok: false; readonly err: E};
--- a/packages/core/src/configuration/__tests__/drain.test.ts
+++ b/packages/core/src/configuration/__tests__/drain.test.ts
@@ -13,8 +13,8 @@
   };
 }
 
-// Guards against a VM that serves while one reason to drain is left, and
-// against one that drains for a list or a document that it cannot read.
+// Guards against a VM that serves while a reason to drain remains, and against
+// one that drains because the list or the document could not be read.
 it.each([
   ['a', 'not-requested', 'live', withStates('in-service')],
   ['a', 'not-requested', 'not-listed', undefined],
@@ -22,7 +22,7 @@
   ['a', 'requested', 'not-listed', withStates('in-service')],
   ['removed', 'not-requested', 'live', withStates('in-service')],
 ] as const)(
-  'VM in %s, stop %s, %s',
+  'reasons of a VM in data centre %s, stop %s, platform state %s',
   (dataCentre, stop, listed, configuration) => {
     expect(
       drainReasons({dataCentre, stop, listed, configuration}),
@@ -30,8 +30,9 @@
   },
 );
 
-// Guards against new statements at a member in a data centre that is out.
-it('lets only members accept that are in service themselves', () => {
+// Guards against new statements on a member in a data centre that is out of
+// service.
+it('accepts statements on members and data centres in service only', () => {
   const server = {
     name: 's',
     dataCentre: 'a',
--- a/packages/core/src/configuration/__tests__/fake_store.ts
+++ b/packages/core/src/configuration/__tests__/fake_store.ts
@@ -14,16 +14,17 @@
 import type {PromotionProgress} from '../promotion_machine.js';
 
 /**
- * What happens to one request: `down` is not executed, `lost` is executed
- * without an answer, `delayed` is executed after the next request.
+ * The fault of one request: a `down` request is not executed, a `lost` one is
+ * executed but not answered, and a `delayed` one is not answered and executed
+ * after the next request.
  */
 export type Fault = 'none' | 'down' | 'lost' | 'delayed';
 
-/** A store in memory whose requests fail as a test says. */
+/** An in-memory store with the fault of each request chosen by the test. */
 export class FakeStore {
   readonly rows = new Map<string, VersionedRow>();
   readonly objects = new Set<string>();
-  private late: Array<() => void> = [];
+  private delayedRequests: Array<() => void> = [];
 
   execute(
     step: Exclude<PromotionStep, {kind: 'finish'}>,
@@ -34,10 +35,10 @@
       return {kind: 'failed', effect: 'none', detail: 'down'};
     }
     const run = (): PromotionEvent => this.run(step, request);
-    const due = this.late;
-    this.late = fault === 'delayed' ? [run] : [];
+    const dueRequests = this.delayedRequests;
+    this.delayedRequests = fault === 'delayed' ? [run] : [];
     const event = fault === 'delayed' ? undefined : run();
-    for (const request of due) request();
+    for (const request of dueRequests) request();
     if (!event || fault === 'lost') {
       return {kind: 'failed', effect: 'unknown', detail: 'no answer'};
     }
@@ -76,8 +77,8 @@
   }
 }
 
-/** One promotion that a test executes step by step. */
-export class Runner {
+/** Executes the steps of one promotion against a fake store. */
+export class PromotionRunner {
   readonly trace: string[] = [];
   private progress: PromotionProgress;
   private now = 0;
@@ -94,7 +95,7 @@
     return step.kind === 'finish' ? step.outcome : undefined;
   }
 
-  /** Executes one step, if one is left. */
+  /** Executes the next step, unless the promotion is finished. */
   advance(fault: Fault): void {
     const {state, step} = this.progress;
     if (step.kind === 'finish') return;
@@ -104,13 +105,14 @@
     this.progress = advancePromotion(state, event, this.now);
   }
 
+  /** Executes all remaining steps and returns the outcome on one line. */
   finish(faultAt: (index: number) => Fault = () => 'none'): string {
     for (let index = 0; !this.outcome; index += 1) this.advance(faultAt(index));
     return describeOutcome(this.outcome);
   }
 }
 
-/** An outcome on one line. */
+/** Formats an outcome on one line. */
 export function describeOutcome(outcome: PromotionOutcome): string {
   switch (outcome.kind) {
     case 'promoted':
--- a/packages/core/src/configuration/__tests__/promotion.test.ts
+++ b/packages/core/src/configuration/__tests__/promotion.test.ts
@@ -8,7 +8,7 @@
 import {nextConfiguration} from '../next_configuration.js';
 import type {PromotionRequest, VmReport} from '../promotion.js';
 import {spreadOf} from '../promotion_machine.js';
-import {FakeStore, Runner} from './fake_store.js';
+import {FakeStore, PromotionRunner} from './fake_store.js';
 
 const FAULTS = ['down', 'lost', 'delayed'] as const;
 const STEPS = 6;
@@ -27,7 +27,7 @@
   };
 }
 
-/** A store with version 1 in production; trial has accepted two documents. */
+/** Production has version 1, and trial has accepted two documents. */
 function storeWithVersion1(): FakeStore {
   const store = new FakeStore();
   store.rows.set(configurationKey('production'), {
@@ -50,11 +50,11 @@
 }
 
 describe('a promotion', () => {
-  // Guards against a write that is lost or done twice when one request fails.
-  it.each(FAULTS)('survives one %s request at every step', fault => {
+  // Guards against a write that is lost or repeated when one request fails.
+  it.each(FAULTS)('succeeds after one %s request at any step', fault => {
     const lines = Array.from({length: STEPS}, (unused, failing) => {
       const store = storeWithVersion1();
-      const runner = new Runner(store, request());
+      const runner = new PromotionRunner(store, request());
       const outcome = runner.finish(index =>
         index === failing ? fault : 'none',
       );
@@ -63,11 +63,12 @@
     expect(lines).toMatchSnapshot();
   });
 
-  // Guards against "nothing was changed" when a write may have taken effect.
-  it.each(FAULTS)('ends when all requests are %s from a step on', fault => {
+  // Guards against a reply that nothing was changed although the write may have
+  // taken effect.
+  it.each(FAULTS)('finishes if all requests are %s from a step on', fault => {
     const lines = Array.from({length: STEPS}, (unused, failing) => {
       const store = storeWithVersion1();
-      const outcome = new Runner(store, request()).finish(index =>
+      const outcome = new PromotionRunner(store, request()).finish(index =>
         index >= failing ? fault : 'none',
       );
       return `from step ${failing}: ${outcome}, ${versionOf(store)}`;
@@ -75,15 +76,16 @@
     expect(lines).toMatchSnapshot();
   });
 
-  // Guards against two winners, and against a loser that is not told who won.
+  // Guards against two concurrent promotions that both succeed, and against a
+  // conflict that does not name the other operator.
   it.each(['none', ...FAULTS] as const)(
-    'has one winner in each order of two operators, with a %s write',
+    'succeeds for one of two concurrent operators in any order (%s write)',
     fault => {
-      const seen = new Set<string>();
+      const results = new Set<string>();
       for (const order of interleavings(STEPS, STEPS)) {
         const store = storeWithVersion1();
-        const ann = new Runner(store, request());
-        const bob = new Runner(
+        const ann = new PromotionRunner(store, request());
+        const bob = new PromotionRunner(
           store,
           request({hash: 'other', operationId: 'op-bob', actor: 'bob'}),
         );
@@ -93,37 +95,37 @@
           else bob.advance('none');
         }
         const outcomes = [ann.finish(), bob.finish()];
-        seen.add(`${outcomes.join(' | ')} => ${versionOf(store)}`);
+        results.add(`${outcomes.join(' | ')} => ${versionOf(store)}`);
       }
-      expect([...seen].sort()).toMatchSnapshot();
+      expect([...results].sort()).toMatchSnapshot();
     },
   );
 
   // Guards against a second version when an operator repeats a command that
   // was killed.
   it.each(['none', 'delayed'] as const)(
-    'can be repeated after it was killed at any step (%s write)',
+    'creates one version if it is killed at any step and repeated (%s write)',
     fault => {
       const lines = Array.from({length: STEPS + 1}, (unused, killedAt) => {
         const store = storeWithVersion1();
-        const killed = new Runner(store, request());
+        const killed = new PromotionRunner(store, request());
         for (let index = 0; index < killedAt; index += 1) {
           killed.advance(index === 3 ? fault : 'none');
         }
-        const again = new Runner(
+        const repeated = new PromotionRunner(
           store,
           request({operationId: 'op-ann-2', basedOn: 'current'}),
         );
-        return `${killedAt} steps: ${again.finish()}, ${versionOf(store)}`;
+        return `${killedAt} steps: ${repeated.finish()}, ${versionOf(store)}`;
       });
       expect(lines).toMatchSnapshot();
     },
   );
 
-  // Guards against a document in production that was never tried.
-  it('needs the acceptance of trial unless it is waived', () => {
+  // Guards against a document in production that was never in trial.
+  it('requires the acceptance of trial unless the check is skipped', () => {
     const outcomes = (['required', 'skipped'] as const).map(trialCheck =>
-      new Runner(
+      new PromotionRunner(
         storeWithVersion1(),
         request({hash: 'untried', trialCheck}),
       ).finish(),
@@ -131,20 +133,21 @@
     expect(outcomes).toMatchSnapshot();
   });
 
-  // Guards against reporting a promotion as never in force after it was
-  // replaced while its answer was lost.
-  it('is told when it was in force and has been replaced', () => {
+  // Guards against a report that a version was never in force if the answer to
+  // its write was lost and it was replaced before the retry.
+  it('reports that it was in force and has been replaced', () => {
     const store = storeWithVersion1();
-    const ann = new Runner(store, request());
+    const ann = new PromotionRunner(store, request());
     for (let index = 0; index < 3; index += 1) ann.advance('none');
     ann.advance('lost');
     const bob = {hash: 'other', operationId: 'op-bob', actor: 'bob'};
-    new Runner(store, request({...bob, basedOn: 2})).finish();
+    new PromotionRunner(store, request({...bob, basedOn: 2})).finish();
     expect(ann.finish()).toBe('superseded with bob');
   });
 
-  // Guards against a promotion reported as spread that one VM has not applied.
-  it('counts the live VMs that have the version', () => {
+  // Guards against a promotion reported as complete that a live VM has not
+  // applied.
+  it('counts the live VMs that have applied the version', () => {
     const vm = (listed: 'live' | 'leaving', version: number): VmReport => ({
       vm: 'a',
       dataCentre: 'a',
@@ -162,17 +165,17 @@
 });
 
 describe('a VM', () => {
-  // Guards against a late answer that brings an earlier version back.
-  it('applies only higher versions, in any order of answers', () => {
+  // Guards against a late answer that restores an earlier version.
+  it('applies only higher versions in any order of answers', () => {
     for (let seed = 1; seed <= 200; seed += 1) {
       const random = new Random(seed);
       const applied = [0];
       for (let answer = 0; answer < 20; answer += 1) {
-        const heard = Array.from({length: random.integer(0, 3)}, () => {
+        const received = Array.from({length: random.integer(0, 3)}, () => {
           const version = random.integer(1, 9);
           return {version, hash: `h${version}`};
         });
-        const next = nextConfiguration(applied.at(-1) ?? 0, heard);
+        const next = nextConfiguration(applied.at(-1) ?? 0, received);
         if (next) applied.push(next.version);
       }
       expect(applied).toEqual([...new Set(applied)].sort((a, b) => a - b));
@@ -180,13 +183,16 @@
   });
 });
 
-// Guards against an exception when the row holds something else.
+// Guards against an exception for a row value in another format.
 it.each(['', '{}', 'null', '[]', '{"hash":1}'])(
-  'does not read a row of %s',
+  'decodes a row value %s as undefined',
   value => expect(decodeConfigurationRow(value, 1)).toBeUndefined(),
 );
 
-/** All orders of `a` steps of one operator and `b` steps of another. */
+/**
+ * Returns all interleavings of `a` steps of one operator (true) and `b` steps of
+ * another (false).
+ */
 function interleavings(a: number, b: number): boolean[][] {
   if (a === 0) return [Array<boolean>(b).fill(false)];
   if (b === 0) return [Array<boolean>(a).fill(true)];
--- a/packages/core/src/configuration/configuration_index.ts
+++ b/packages/core/src/configuration/configuration_index.ts
@@ -2,42 +2,51 @@
 import type {Route} from '../routing/route.js';
 import type {Configuration, Workspace} from './configuration.js';
 
-/** The databases that a name stands for: one, or those of a service. */
+/**
+ * The databases that a name resolves to: the database of that name, or all
+ * databases of the service of that name.
+ */
 export interface NamedDatabases {
   readonly service: string;
+  /** The names of the databases. */
   readonly names: readonly string[];
-  /** The chosen database by workspace, filled at the first use. */
+  /** The default database of each workspace, cached on its first use. */
   readonly homes: Map<string, string>;
 }
 
-/** Lookup tables of one configuration, which never changes. */
+/** Lookup tables of one configuration, which is immutable. */
 export interface ConfigurationIndex {
   readonly routes: ReadonlyMap<string, Route>;
   readonly workspaces: ReadonlyMap<string, Workspace>;
+  /** By the name of a database or a service. */
   readonly databases: ReadonlyMap<string, NamedDatabases>;
 }
 
 const indexes = new WeakMap<Configuration, ConfigurationIndex>();
 
 /**
- * Returns the lookup tables of a configuration. Each statement looks up its
- * workspace and route, and a search took 230 us with 8,000 workspaces.
+ * Returns the lookup tables of a configuration and caches them. Each statement
+ * looks up its workspace and route, and a linear search takes 230 us with 8,000
+ * workspaces.
  */
 export function indexOf(configuration: Configuration): ConfigurationIndex {
-  const known = indexes.get(configuration);
-  if (known) return known;
+  const cached = indexes.get(configuration);
+  if (cached) return cached;
   const index = buildIndex(configuration);
   indexes.set(configuration, index);
   return index;
 }
 
-/** The database of a workspace that gives no shard. */
+/**
+ * Returns the default database of a workspace, which its statements use unless
+ * they name a shard.
+ */
 export function homeOf(databases: NamedDatabases, workspace: string): string {
-  const known = databases.homes.get(workspace);
-  if (known !== undefined) return known;
-  const home = rendezvousOrder(workspace, databases.names)[0] as string;
-  databases.homes.set(workspace, home);
-  return home;
+  const cached = databases.homes.get(workspace);
+  if (cached !== undefined) return cached;
+  const database = rendezvousOrder(workspace, databases.names)[0] as string;
+  databases.homes.set(workspace, database);
+  return database;
 }
 
 function buildIndex(configuration: Configuration): ConfigurationIndex {
--- a/packages/core/src/configuration/configuration_row.ts
+++ b/packages/core/src/configuration/configuration_row.ts
@@ -1,46 +1,58 @@
 import {createHash} from 'node:crypto';
 import type {Environment} from './environment.js';
 
-/** How many operation ids a row keeps, so that lost answers are resolved. */
-const MAX_RECENT = 8;
+/**
+ * The number of earlier operation ids in a row. They let an operation find out
+ * whether a write with a lost answer took effect.
+ */
+const MAX_RECENT_OPERATIONS = 8;
 
 /** The value of the row that holds the version in force. */
 export interface ConfigurationRow {
+  /** The hash of the document. */
   readonly hash: string;
-  /** The version that the operator started from. */
+  /** The version that this one replaced. */
   readonly basedOn: number;
+  /** The operation that wrote the row. */
   readonly operationId: string;
-  /** Who promoted it; the loser of a race is told. */
+  /** Who promoted the document; shown to the loser of a conflict. */
   readonly actor: string;
-  /** Operation ids of the versions before, the latest first. */
+  /** Operation ids of the previous versions, the latest first. */
   readonly recent: readonly string[];
 }
 
-/** A row together with its version in the table service. */
+/** A row and its version in the table service. */
 export interface VersionedRow extends ConfigurationRow {
   readonly version: number;
 }
 
-/** The key of the row that holds an environment's version. */
+/** Returns the key of the row that holds the version of an environment. */
 export function configurationKey(environment: Environment): string {
   return `configuration/${environment}`;
 }
 
-/** The object name of a document body. */
+/** Returns the object name of a document body. */
 export function documentName(hash: string): string {
   return `document/${hash}`;
 }
 
-/** The object that records that an environment has accepted a document. */
+/**
+ * Returns the name of the object that records that an environment has accepted
+ * a document.
+ */
 export function acceptanceName(environment: Environment, hash: string): string {
   return `accepted/${environment}/${hash}`;
 }
 
+/** Returns the SHA-256 hash of a document body, in hexadecimal. */
 export function hashOf(body: string): string {
   return createHash('sha256').update(body).digest('hex');
 }
 
-/** Reads a row's value; a row that was not written by us gives undefined. */
+/**
+ * Decodes the value of a row. Returns undefined for a value in another format,
+ * such as one that another program wrote.
+ */
 export function decodeConfigurationRow(
   value: string,
   version: number,
@@ -62,7 +74,7 @@
   };
 }
 
-/** The value that follows a row. */
+/** Returns the row value that replaces the current row in a promotion. */
 export function nextConfigurationRow(
   current: VersionedRow | undefined,
   next: Pick<ConfigurationRow, 'hash' | 'operationId' | 'actor'>,
@@ -73,7 +85,7 @@
     operationId: next.operationId,
     actor: next.actor,
     recent: current
-      ? [current.operationId, ...current.recent].slice(0, MAX_RECENT)
+      ? [current.operationId, ...current.recent].slice(0, MAX_RECENT_OPERATIONS)
       : [],
   };
 }
--- a/packages/core/src/configuration/drain.ts
+++ b/packages/core/src/configuration/drain.ts
@@ -4,20 +4,26 @@
   ServiceState,
 } from './configuration.js';
 
-/** Why a VM takes no new work. */
+/** Why a VM accepts no new work. */
 export type DrainReason = 'stopping' | 'listed-leaving' | 'data-centre-out';
 
-/** What decides whether a VM takes new work. */
+/** The conditions that decide whether a VM accepts new work. */
 export interface DrainInput {
   readonly stop: 'requested' | 'not-requested';
-  /** The state in the platform's list; a VM that is not listed is not dead. */
+  /**
+   * The state of the VM in the platform's list. A VM that is missing from the
+   * list may still be alive, so it continues to serve.
+   */
   readonly listed: 'live' | 'leaving' | 'not-listed';
   readonly dataCentre: string;
   /** Undefined until the first configuration is applied. */
   readonly configuration: Configuration | undefined;
 }
 
-/** The reasons to drain; a VM without one serves, also when it returns. */
+/**
+ * Returns the reasons to drain. A VM without a reason serves, and one whose
+ * last reason ends serves again.
+ */
 export function drainReasons(input: DrainInput): readonly DrainReason[] {
   const reasons: DrainReason[] = [];
   if (input.stop === 'requested') reasons.push('stopping');
@@ -31,7 +37,7 @@
   return reasons;
 }
 
-/** Whether a member may get new statements. */
+/** Returns whether new statements may be sent to a member. */
 export function mayAccept(
   server: BackendServer,
   configuration: Configuration,
@@ -42,7 +48,10 @@
   );
 }
 
-/** A data centre that the document does not name is out of service. */
+/**
+ * Returns the state of a data centre. One that the document does not name is
+ * out of service.
+ */
 function stateOf(
   configuration: Configuration,
   dataCentre: string,
--- a/packages/core/src/configuration/ledger_key.ts
+++ b/packages/core/src/configuration/ledger_key.ts
@@ -1,6 +1,9 @@
 import type {Environment} from './environment.js';
 
-/** The key of the row that names the VMs with a share and their shares. */
+/**
+ * Returns the key of the row that lists the VMs with a quota share and their
+ * shares.
+ */
 export function ledgerKey(environment: Environment): string {
   return `ledger/${environment}`;
 }
--- a/packages/core/src/configuration/promotion_machine.ts
+++ b/packages/core/src/configuration/promotion_machine.ts
@@ -12,24 +12,27 @@
 const RETRY_MS = 250;
 const VM_POLL_MS = 250;
 
-/** The progress of one promotion. */
+/** The state of one promotion. */
 export interface PromotionState {
   readonly request: PromotionRequest;
   readonly phase: PromotionPhase;
-  /** The row that the write is based on, as last read. */
+  /** The row that the write replaces, as last read. */
   readonly base: VersionedRow | undefined;
-  /** Whether a write was sent whose answer is not known. */
+  /** Whether a write was sent and its effect is unknown. */
   readonly write: 'none' | 'in-doubt';
+  /** The outcome to report; valid once the version is in force. */
   readonly result: 'promoted' | 'already-in-force';
+  /** The version in force; 0 until then. */
   readonly version: number;
 }
 
+/** The state of a promotion and the step to execute next. */
 export interface PromotionProgress {
   readonly state: PromotionState;
   readonly step: PromotionStep;
 }
 
-/** The first step of a promotion. */
+/** Starts a promotion and returns its first step. */
 export function startPromotion(request: PromotionRequest): PromotionProgress {
   const state: PromotionState = {
     request,
@@ -39,13 +42,13 @@
     result: 'promoted',
     version: 0,
   };
-  return enter(
+  return enterPhase(
     state,
     request.trialCheck === 'required' ? 'check-trial' : 'put-body',
   );
 }
 
-/** Decides the next step from the outcome of the last one. */
+/** Decides the next step from the result of the last one. */
 export function advancePromotion(
   state: PromotionState,
   event: PromotionEvent,
@@ -55,10 +58,10 @@
   switch (state.phase) {
     case 'check-trial':
       return event.kind === 'acceptance' && event.accepted === 'yes'
-        ? enter(state, 'put-body')
+        ? enterPhase(state, 'put-body')
         : finish(state, {kind: 'not-accepted-in-trial'});
     case 'put-body':
-      return enter(state, 'read-row');
+      return enterPhase(state, 'read-row');
     case 'read-row':
       return afterRead(state, event.kind === 'row' ? event.current : undefined);
     case 'write-row':
@@ -70,7 +73,7 @@
         now,
       );
     case 'record-acceptance':
-      return enter(state, 'read-vms');
+      return enterPhase(state, 'read-vms');
     case 'read-vms':
       return afterReports(
         state,
@@ -86,14 +89,15 @@
 ): PromotionProgress {
   const {request} = state;
   if (current?.hash === request.hash) {
-    // An earlier run was stopped after its write, or a colleague was first.
-    return inForce(state, 'already-in-force', current.version);
+    // An earlier run of this command was stopped after its write, or another
+    // operator has promoted the same document.
+    return enterRecordAcceptance(state, 'already-in-force', current.version);
   }
   const version = current?.version ?? 0;
   if (request.basedOn !== 'current' && request.basedOn !== version) {
     return finish(state, {kind: 'conflict', current});
   }
-  return enter({...state, base: current}, 'write-row');
+  return enterPhase({...state, base: current}, 'write-row');
 }
 
 function afterWrite(
@@ -101,10 +105,10 @@
   event: PromotionEvent,
 ): PromotionProgress {
   if (event.kind === 'written') {
-    return inForce(state, 'promoted', event.version);
+    return enterRecordAcceptance(state, 'promoted', event.version);
   }
   const current = event.kind === 'conflict' ? event.current : undefined;
-  return afterOtherRow(state, current);
+  return afterRowChanged(state, current);
 }
 
 function afterReadBack(
@@ -113,36 +117,42 @@
   now: number,
 ): PromotionProgress {
   if ((current?.version ?? 0) !== (state.base?.version ?? 0)) {
-    return afterOtherRow(state, current);
+    return afterRowChanged(state, current);
   }
-  // The write may still be under way. Sending it again is safe, as only one
-  // write based on this version can take effect and both have the same id.
+  // The write may still be in flight. Sending it again is safe: only one write
+  // based on this version can take effect, and both carry the same operation
+  // id.
   return now < state.request.writeUntil
-    ? enter(state, 'write-row', RETRY_MS)
+    ? enterPhase(state, 'write-row', RETRY_MS)
     : finish(state, {
         kind: 'outcome-unknown',
         detail: 'the write was sent and has not taken effect so far',
       });
 }
 
-/** The row has moved on from its base: by this promotion or by another. */
-function afterOtherRow(
+/**
+ * Continues after the row was found with another version than the base, which
+ * this promotion or another one has written.
+ */
+function afterRowChanged(
   state: PromotionState,
   current: VersionedRow | undefined,
 ): PromotionProgress {
   const {operationId} = state.request;
   if (current?.operationId === operationId) {
-    return inForce(state, 'promoted', current.version);
+    return enterRecordAcceptance(state, 'promoted', current.version);
   }
   if (current?.hash === state.request.hash) {
-    return inForce(state, 'already-in-force', current.version);
+    return enterRecordAcceptance(state, 'already-in-force', current.version);
   }
   if (current?.recent.includes(operationId)) {
     return finish(state, {kind: 'superseded', current});
   }
-  const expected = (state.base?.version ?? 0) + 1;
-  const known = (current?.recent.length ?? 0) + expected;
-  if (state.write === 'in-doubt' && (current?.version ?? 0) > known) {
+  // A row lists the operations of its latest versions only. A version above
+  // `lastListing` cannot show whether the write of this promotion took effect.
+  const ownVersion = (state.base?.version ?? 0) + 1;
+  const lastListing = (current?.recent.length ?? 0) + ownVersion;
+  if (state.write === 'in-doubt' && (current?.version ?? 0) > lastListing) {
     return finish(state, {
       kind: 'outcome-unknown',
       detail: `version ${current?.version} is in force and its row no longer lists this operation's version`,
@@ -158,7 +168,7 @@
 ): PromotionProgress {
   const spread = spreadOf(reports, state.version);
   if (spread !== 'all' && now < state.request.waitUntil) {
-    return enter(state, 'read-vms', VM_POLL_MS);
+    return enterPhase(state, 'read-vms', VM_POLL_MS);
   }
   return finish(state, {
     kind: state.result,
@@ -168,7 +178,10 @@
   });
 }
 
-/** How far a version has come, counted over the VMs that are listed live. */
+/**
+ * Returns how many of the VMs that the platform lists as live have applied a
+ * version or a later one.
+ */
 export function spreadOf(
   reports: readonly VmReport[],
   version: number,
@@ -187,10 +200,11 @@
   now: number,
 ): PromotionProgress {
   const {phase, request} = state;
-  // The VMs must not wait for the record; repeating the command writes it.
-  if (phase === 'record-acceptance') return enter(state, 'read-vms');
+  // The check of the VMs does not wait for the acceptance record; repeating the
+  // command writes it.
+  if (phase === 'record-acceptance') return enterPhase(state, 'read-vms');
   if (phase === 'read-vms') {
-    if (now < request.waitUntil) return enter(state, phase, RETRY_MS);
+    if (now < request.waitUntil) return enterPhase(state, phase, RETRY_MS);
     return finish(state, {
       kind: state.result,
       version: state.version,
@@ -204,8 +218,8 @@
       : state.write;
   const next = {...state, write} as const;
   if (now < request.writeUntil) {
-    const again = phase === 'write-row' && write === 'in-doubt';
-    return enter(next, again ? 'read-back' : phase, RETRY_MS);
+    const mustReadBack = phase === 'write-row' && write === 'in-doubt';
+    return enterPhase(next, mustReadBack ? 'read-back' : phase, RETRY_MS);
   }
   return finish(
     next,
@@ -215,15 +229,16 @@
   );
 }
 
-function inForce(
+/** Continues after the requested document is found or put in force. */
+function enterRecordAcceptance(
   state: PromotionState,
   result: PromotionState['result'],
   version: number,
 ): PromotionProgress {
-  return enter({...state, result, version}, 'record-acceptance');
+  return enterPhase({...state, result, version}, 'record-acceptance');
 }
 
-function enter(
+function enterPhase(
   state: PromotionState,
   phase: PromotionPhase,
   delayMs = 0,
--- a/packages/core/src/configuration/served_configuration.ts
+++ b/packages/core/src/configuration/served_configuration.ts
@@ -1,60 +1,64 @@
 import type {QuotaLimits} from '../quota/quota_limits.js';
 
-/** Which members may serve a route's reads. */
+/** Which commits a read of a route must see. */
 export type ReadConsistency =
   /** All acknowledged commits. */
   | 'strict'
-  /** Commits older than the route's greatest age. */
+  /** All commits that are older than the maximum age of the route. */
   | 'bounded-age'
   /** As `bounded-age`, and all commits of the same session. */
   | 'own-writes';
 
-/** How the statements for one database name are treated. */
+/** The settings of all statements for one database name. */
 export interface DatabaseRoute {
   readonly name: string;
   /** The name that callers connect to. */
   readonly database: string;
-  /** The group of members that holds the data. */
+  /** The group of members that hold the data. */
   readonly group: string;
   readonly consistency: ReadConsistency;
+  /** The maximum age of the data that a read returns. */
   readonly maxAgeMs: number;
   /** The time limit of one statement. */
   readonly statementTimeoutMs: number;
-  /** The time in which a whole operation should end. */
+  /** The target latency of a whole operation. */
   readonly targetMs: number;
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   readonly priority: number;
+  /** Whether callers need the key of a workspace or may be anonymous. */
   readonly audience: 'keyed' | 'open';
-  /** Regions to whose members the route is confined; empty for all. */
+  /** The regions whose members may serve the route; empty for all. */
   readonly regions: readonly string[];
 }
 
-/** What the configuration says of a group of members. */
+/** The settings of a group of members. */
 export interface GroupSettings {
   readonly name: string;
-  /** Connections that a member accepts from all VMs together. */
+  /** Connections that a member accepts, over all VMs. */
   readonly connectionLimit: number;
-  /** Replicas that hold a commit before it is acknowledged. */
+  /** Replicas that must hold a commit before it is acknowledged. */
   readonly synchronousReplicas: number;
-  /** Statements a second that a member takes while it warms up; 0 for any. */
+  /** Statements per second on a member that warms up; 0 for no limit. */
   readonly warmupPerSecond: number;
 }
 
+/** The quota and the regions of one workspace. */
 export interface ServedWorkspace {
   readonly name: string;
   readonly limit: QuotaLimits;
+  /** The regions whose members may serve the workspace; empty for all. */
   readonly regions: readonly string[];
 }
 
-/** One version of the operators' configuration, indexed for lookup. */
+/** One version of the configuration, indexed for lookups. */
 export interface ServedConfiguration {
   readonly version: number;
   /** By database name. */
   readonly routes: ReadonlyMap<string, DatabaseRoute>;
   readonly groups: ReadonlyMap<string, GroupSettings>;
   readonly workspaces: ReadonlyMap<string, ServedWorkspace>;
-  /** The workspace that holds each key. */
+  /** The name of the workspace that holds each key. */
   readonly keys: ReadonlyMap<string, string>;
-  /** How long a transaction may wait for its caller. */
+  /** How long an open transaction may wait for the next statement. */
   readonly transactionIdleMs: number;
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,4 +1,7 @@
-/** Decisions without I/O: statements, sessions, routing, quotas, failover, membership, configuration. */
+/**
+ * Decisions without I/O: statements, sessions, routing, quotas, failover,
+ * membership and configuration.
+ */
 export {DeficitRoundRobinPolicy} from './admission/deficit_round_robin_policy.js';
 export * from './admission/expected_wait.js';
 export {FifoPolicy} from './admission/fifo_policy.js';
--- a/packages/core/src/retry/__tests__/decide_retry.test.ts
+++ b/packages/core/src/retry/__tests__/decide_retry.test.ts
@@ -35,8 +35,8 @@
 }
 
 describe('decideRetry', () => {
-  // Guards against a statement that runs twice although it must not.
-  it('repeats an unknown outcome only when a repeat does no harm', () => {
+  // Guards against running a statement twice that must run once.
+  it('repeats after an unknown outcome only if a repeat is harmless', () => {
     const table = REFUSALS.flatMap(kind =>
       REPEATABILITIES.map(
         repeatability =>
@@ -46,23 +46,23 @@
     expect(table).toMatchSnapshot();
   });
 
-  // Guards against retries that outlive their caller.
-  it('ends at the deadline and after the last attempt', () => {
+  // Guards against retries after the caller has stopped waiting.
+  it('gives up at the deadline and after the last attempt', () => {
     expect([
       decide('no-member', 'once', 1, 1_000),
       decide('no-member', 'once', 6, 0),
     ]).toMatchSnapshot();
   });
 
-  // Guards against a slow group that is slowed further by its retries.
-  it('allows retries for a tenth of the requests', () => {
+  // Guards against retries that slow down an overloaded group further.
+  it('allows one retry for ten requests', () => {
     let budget = INITIAL_RETRY_BUDGET;
     let retries = 0;
     for (let request = 0; request < 1_000; request += 1) {
       budget = earnRetry(budget);
-      const rest = spendRetry(budget);
-      if (rest) {
-        budget = rest;
+      const remainingBudget = spendRetry(budget);
+      if (remainingBudget) {
+        budget = remainingBudget;
         retries += 1;
       }
     }
--- a/packages/core/src/retry/attempt_deadline.ts
+++ b/packages/core/src/retry/attempt_deadline.ts
@@ -1,12 +1,12 @@
 import type {Repeatability} from './decide_retry.js';
 
-/** An attempt is never given less time than this. */
+/** The least time of an attempt, unless the deadline of the statement is nearer. */
 const MIN_ATTEMPT_MS = 100;
 
 /**
- * Limits the time of one attempt. A statement that may be repeated gets half of
- * the time that remains, so that a second attempt on another member is still
- * possible when the first does not answer.
+ * Returns the deadline of one attempt, on the clock of `now`. An attempt of a
+ * statement that may be repeated gets half of the remaining time, so a second
+ * attempt on another member is still possible if the first is not answered.
  */
 export function attemptDeadline(
   repeatability: Repeatability,
--- a/packages/core/src/retry/decide_retry.ts
+++ b/packages/core/src/retry/decide_retry.ts
@@ -5,25 +5,32 @@
 
 /** Whether a statement may be sent again after an unknown outcome. */
 export type Repeatability =
-  /** Executing it twice has the same effect as once. */
+  /** The statement is idempotent: running it twice has the effect of once. */
   | 'repeatable'
-  /** Its request id is recorded with its effect, so a repeat is detected. */
+  /**
+   * The request id of the statement is stored with its effect, so a repeat is
+   * detected.
+   */
   | 'recorded'
+  /** The statement must not run twice. */
   | 'once';
 
-/** One failed attempt of a statement. */
+/** A failed attempt to execute a statement. */
 export interface FailedAttempt {
   readonly refusal: Refusal;
   readonly repeatability: Repeatability;
-  /** Attempts so far, this one included. */
+  /** The number of attempts so far, including this one. */
   readonly attempts: number;
+  /** When the caller stops waiting. */
   readonly deadline: number;
 }
 
+/** Whether to send a failed statement again, and after which delay. */
 export type RetryDecision =
   | {
       readonly kind: 'retry';
       readonly delayMs: number;
+      /** The budget after this retry is paid from it. */
       readonly budget: RetryBudget;
     }
   | {
@@ -37,8 +44,9 @@
 
 /**
  * Decides whether a failed statement is sent again. A statement that certainly
- * did not run may be repeated always, any other only when a repeat does no
- * harm.
+ * did not run may always be repeated. A statement with an unknown outcome is
+ * repeated only if a repeat is harmless. The delay is random, below a limit
+ * that doubles with each attempt.
  */
 export function decideRetry(
   attempt: FailedAttempt,
@@ -47,17 +55,17 @@
   now: number,
 ): RetryDecision {
   if (!isRetryable(attempt)) return {kind: 'give-up', reason: 'not-retryable'};
-  const ceiling = Math.min(
+  const maxDelayMs = Math.min(
     MAX_BACKOFF_MS,
     FIRST_BACKOFF_MS * 2 ** (attempt.attempts - 1),
   );
-  const delayMs = random.integer(0, ceiling);
+  const delayMs = random.integer(0, maxDelayMs);
   if (attempt.attempts >= MAX_ATTEMPTS || now + delayMs >= attempt.deadline) {
     return {kind: 'give-up', reason: 'deadline'};
   }
-  const rest = spendRetry(budget);
-  return rest
-    ? {kind: 'retry', delayMs, budget: rest}
+  const remainingBudget = spendRetry(budget);
+  return remainingBudget
+    ? {kind: 'retry', delayMs, budget: remainingBudget}
     : {kind: 'give-up', reason: 'budget'};
 }
 
--- a/packages/core/src/retry/retry_budget.ts
+++ b/packages/core/src/retry/retry_budget.ts
@@ -1,29 +1,33 @@
-/** Retries that are allowed for each request, on average. */
-const RETRY_SHARE = 0.1;
+/** The average number of retries that each request allows. */
+const RETRIES_PER_REQUEST = 0.1;
 
-/** Retries that are always allowed in a burst. */
-const RETRY_RESERVE = 3;
+/** The number of retries that are allowed before the first request. */
+const INITIAL_RETRIES = 3;
 
-/** The most retries that can be saved up. */
-const RETRY_LIMIT = 20;
+/** The most retries that the budget can accumulate. */
+const MAX_RETRIES = 20;
 
 /**
- * The number of retries that may be sent now. Retries are limited to a share
- * of recent requests, because a group that is slow for everybody would only
- * get slower from repeated requests.
+ * The number of retries that may be sent now. Retries are limited to a fraction
+ * of the recent requests, because repeated requests would slow a group down
+ * further if it is slow for all callers.
  */
 export interface RetryBudget {
+  /** A fraction of a retry counts towards the next one. */
   readonly available: number;
 }
 
-export const INITIAL_RETRY_BUDGET: RetryBudget = {available: RETRY_RESERVE};
+/** The budget of a group that has received no requests yet. */
+export const INITIAL_RETRY_BUDGET: RetryBudget = {available: INITIAL_RETRIES};
 
-/** Adds what one first attempt earns. */
+/** Adds the allowance of one first attempt. */
 export function earnRetry(budget: RetryBudget): RetryBudget {
-  return {available: Math.min(RETRY_LIMIT, budget.available + RETRY_SHARE)};
+  return {
+    available: Math.min(MAX_RETRIES, budget.available + RETRIES_PER_REQUEST),
+  };
 }
 
-/** Takes one retry, or returns undefined when none is left. */
+/** Takes one retry from the budget; returns undefined if none is left. */
 export function spendRetry(budget: RetryBudget): RetryBudget | undefined {
   return budget.available >= 1 ? {available: budget.available - 1} : undefined;
 }
