--- a/packages/core/src/session/__tests__/session_token.test.ts
+++ b/packages/core/src/session/__tests__/session_token.test.ts
@@ -10,33 +10,21 @@
   bytes[bytes.length - 2] = (bytes[bytes.length - 2] as number) ^ 1;
 
   const cases: ReadonlyArray<readonly [string, string, string, string[]]> = [
-    ['is accepted from its workspace', token, 'co-op', [VERIFIER]],
-    [
-      'is accepted if signed with one of several keys',
-      token,
-      'co-op',
-      ['b'.repeat(40), VERIFIER],
-    ],
-    ['is rejected from another workspace', token, 'dairy', [VERIFIER]],
-    [
-      'is rejected if signed with a withdrawn key',
-      token,
-      'co-op',
-      ['b'.repeat(40)],
-    ],
-    ['is rejected if the workspace has no keys', token, 'co-op', []],
-    [
-      'is rejected if altered',
-      bytes.toString('base64url'),
-      'co-op',
-      [VERIFIER],
-    ],
-    ['is rejected if truncated', token.slice(0, 10), 'co-op', [VERIFIER]],
-    ['is rejected if not a token', '%%%', 'co-op', [VERIFIER]],
+    ['own', token, 'co-op', [VERIFIER]],
+    ['one of several keys', token, 'co-op', ['b'.repeat(40), VERIFIER]],
+    ['another workspace', token, 'dairy', [VERIFIER]],
+    ['withdrawn key', token, 'co-op', ['b'.repeat(40)]],
+    ['workspace without keys', token, 'co-op', []],
+    ['changed', bytes.toString('base64url'), 'co-op', [VERIFIER]],
+    ['truncated', token.slice(0, 10), 'co-op', [VERIFIER]],
+    ['not a token', '%%%', 'co-op', [VERIFIER]],
   ];
 
   // Guards against the use of a forged token or one of another workspace.
-  it.each(cases)('%s', (unusedName, text, workspace, verifiers) => {
-    expect(decodeSessionToken(text, workspace, verifiers)).toMatchSnapshot();
-  });
+  it.each(cases)(
+    'is valid only for its workspace and keys: %s',
+    (unusedName, text, workspace, verifiers) => {
+      expect(decodeSessionToken(text, workspace, verifiers)).toMatchSnapshot();
+    },
+  );
 });
--- a/packages/core/src/statement/__tests__/match_route_filter.test.ts
+++ b/packages/core/src/statement/__tests__/match_route_filter.test.ts
@@ -85,7 +85,7 @@
   ],
   ['refuses an unknown route', {options: {route: 'x'}}],
   ['uses the database that is named', {databaseName: 'ledger-2'}],
-  ['selects a database by the shard', {options: {shard: 'lot-7'}}],
+  ['shard', {options: {shard: 'lot-7'}}],
   ['refuses a service that is not granted', {databaseName: 'labels'}],
   ['refuses an unknown service', {databaseName: 'x'}],
   [
--- a/packages/core/src/statement/__tests__/parse_options_filter.test.ts
+++ b/packages/core/src/statement/__tests__/parse_options_filter.test.ts
@@ -92,7 +92,7 @@
     'autocommit',
     'WITH a AS (SELECT 1) DELETE FROM t',
   ],
-  ['classifies the start of a transaction', 'autocommit', 'START TRANSACTION'],
+  ['begin', 'autocommit', 'START TRANSACTION'],
   [
     'classifies a read of the session token',
     'autocommit',
