--- a/packages/core/src/common/rendezvous.ts
+++ b/packages/core/src/common/rendezvous.ts
@@ -2,8 +2,8 @@
 
 /**
  * Orders candidates by their rendezvous (highest random weight) score for a
- * key, the highest first. When a candidate is added or removed, only the keys
- * for which it is the first are reassigned.
+ * key, the highest first. A candidate that is added or removed changes the
+ * assignment of only those keys that it gains or loses.
  */
 export function rendezvousOrder(
   key: string,
--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -10,7 +10,7 @@
  */
 export type UnconfirmedPolicy = 'refuse' | 'serve';
 
-/** A data centre with VMs or backend servers. */
+/** A data centre and its region. */
 export interface DataCentre {
   readonly name: string;
   readonly region: string;
@@ -39,7 +39,7 @@
   readonly members: readonly string[];
 }
 
-/** An API key that is granted to a workspace. */
+/** A key that is granted to a workspace. */
 export interface KeyGrant {
   readonly id: string;
   /** SHA1(SHA1(key)) in hexadecimal; the key itself is not stored anywhere. */
--- a/packages/core/src/configuration/promotion.ts
+++ b/packages/core/src/configuration/promotion.ts
@@ -12,7 +12,7 @@
    * another is in force. `current` skips this check.
    */
   readonly basedOn: number | 'current';
-  /** Whether trial must have accepted the document before. */
+  /** Whether the document must have been in force in trial before. */
   readonly trialCheck: 'required' | 'skipped';
   /** When to stop retrying the write. */
   readonly writeUntil: number;
--- a/packages/core/src/configuration/promotion_machine.ts
+++ b/packages/core/src/configuration/promotion_machine.ts
@@ -20,9 +20,9 @@
   readonly base: VersionedRow | undefined;
   /** Whether a write was sent and its effect is unknown. */
   readonly write: 'none' | 'in-doubt';
-  /** The outcome to report; valid once the version is in force. */
+  /** The outcome to report once the document is in force. */
   readonly result: 'promoted' | 'already-in-force';
-  /** The version in force; 0 until then. */
+  /** The version under which the document is in force; 0 before that. */
   readonly version: number;
 }
 
@@ -166,15 +166,15 @@
   reports: readonly VmReport[],
   now: number,
 ): PromotionProgress {
-  const spread = spreadOf(reports, state.version);
-  if (spread !== 'all' && now < state.request.waitUntil) {
+  const rollout = spreadOf(reports, state.version);
+  if (rollout !== 'all' && now < state.request.waitUntil) {
     return enterPhase(state, 'read-vms', VM_POLL_MS);
   }
   return finish(state, {
     kind: state.result,
     version: state.version,
     vms: reports,
-    spread,
+    spread: rollout,
   });
 }
 
@@ -229,7 +229,7 @@
   );
 }
 
-/** Continues after the requested document is found or put in force. */
+/** Continues once the requested document is in force. */
 function enterRecordAcceptance(
   state: PromotionState,
   result: PromotionState['result'],
--- a/packages/core/src/retry/attempt_deadline.ts
+++ b/packages/core/src/retry/attempt_deadline.ts
@@ -1,6 +1,6 @@
 import type {Repeatability} from './decide_retry.js';
 
-/** The least time of an attempt, unless the deadline of the statement is nearer. */
+/** The least time of an attempt, unless the statement's deadline is nearer. */
 const MIN_ATTEMPT_MS = 100;
 
 /**
--- a/packages/core/src/retry/decide_retry.ts
+++ b/packages/core/src/retry/decide_retry.ts
@@ -30,7 +30,7 @@
   | {
       readonly kind: 'retry';
       readonly delayMs: number;
-      /** The budget after this retry is paid from it. */
+      /** The budget that remains after this retry. */
       readonly budget: RetryBudget;
     }
   | {
--- a/packages/core/src/routing/primary_only_policy.ts
+++ b/packages/core/src/routing/primary_only_policy.ts
@@ -6,8 +6,8 @@
 import type {MemberChoice, MemberRequest} from './read_policy.js';
 
 /**
- * Sends every statement to the primary. Writes always use this policy, and it
- * is the baseline that the other read policies are compared with.
+ * Sends every statement to the primary. Writes use this policy, and it is the
+ * baseline for the other read policies.
  */
 export class PrimaryOnlyPolicy extends ReadPolicy {
   override choose(
--- a/packages/core/src/routing/read_policy.ts
+++ b/packages/core/src/routing/read_policy.ts
@@ -28,7 +28,10 @@
 
 /** Chooses a member from the current view of a group. */
 export abstract class ReadPolicy {
-  /** `now` is in milliseconds of the monotonic clock that the view uses. */
+  /**
+   * Returns the member to use, or the reason to wait. `now` is in milliseconds
+   * of the clock that the times in the view and the log refer to.
+   */
   abstract choose(
     request: MemberRequest,
     view: GroupView,
--- a/packages/core/src/routing/route.ts
+++ b/packages/core/src/routing/route.ts
@@ -14,6 +14,7 @@
   readonly audience: Audience;
   /** The maximum age of the data that a read returns; 0 means current data. */
   readonly maxAgeMs: number;
+  /** The time limit of a statement, from its receipt. */
   readonly deadlineMs: number;
   readonly acknowledge: Acknowledgement;
 }
