--- a/packages/core/src/configuration/__tests__/drain.test.ts
+++ b/packages/core/src/configuration/__tests__/drain.test.ts
@@ -22,7 +22,7 @@
   ['a', 'requested', 'not-listed', withStates('in-service')],
   ['removed', 'not-requested', 'live', withStates('in-service')],
 ] as const)(
-  'reasons of a VM in data centre %s, stop %s, platform state %s',
+  'drain reasons of a VM in data centre %s, stop %s, platform state %s',
   (dataCentre, stop, listed, configuration) => {
     expect(
       drainReasons({dataCentre, stop, listed, configuration}),
--- a/packages/core/src/configuration/__tests__/promotion.test.ts
+++ b/packages/core/src/configuration/__tests__/promotion.test.ts
@@ -190,8 +190,8 @@
 );
 
 /**
- * Returns all interleavings of `a` steps of one operator (true) and `b` steps of
- * another (false).
+ * Returns all interleavings of `a` steps of one operator (true) and `b` steps
+ * of another (false).
  */
 function interleavings(a: number, b: number): boolean[][] {
   if (a === 0) return [Array<boolean>(b).fill(false)];
--- a/packages/core/src/session/log_position.ts
+++ b/packages/core/src/session/log_position.ts
@@ -15,9 +15,9 @@
 }
 
 /**
- * Returns whether a log that ends at `applied` contains every acknowledged entry
- * up to `required`. A log whose last entry has a higher term contains them,
- * because a promotion preserves all entries that a majority holds.
+ * Returns whether a log that ends at `applied` contains every acknowledged
+ * entry up to `required`. A log whose last entry has a higher term contains
+ * them, because a promotion preserves all entries that a majority holds.
  */
 export function covers(applied: LogPosition, required: LogPosition): boolean {
   return compareLogPosition(applied, required) >= 0;
--- a/packages/core/src/sessions/conclude_attempt.ts
+++ b/packages/core/src/sessions/conclude_attempt.ts
@@ -33,7 +33,7 @@
   | 'retry'
   /** The statement and its transaction have no effect. */
   | 'nothing-kept'
-  /** The caller receives the member's error, without a promise on the effect. */
+  /** The caller receives the member's error; the effect is left open. */
   | 'report-error'
   /** The statement may have taken effect. */
   | 'unknown';
