--- a/packages/core/src/session/__tests__/session_token.test.ts
+++ b/packages/core/src/session/__tests__/session_token.test.ts
@@ -12,16 +12,19 @@
   const cases: ReadonlyArray<readonly [string, string, string, string[]]> = [
     ['own', token, 'co-op', [VERIFIER]],
     ['one of several keys', token, 'co-op', ['b'.repeat(40), VERIFIER]],
-    ['other workspace', token, 'dairy', [VERIFIER]],
+    ['another workspace', token, 'dairy', [VERIFIER]],
     ['withdrawn key', token, 'co-op', ['b'.repeat(40)]],
-    ['no keys left', token, 'co-op', []],
+    ['workspace without keys', token, 'co-op', []],
     ['changed', bytes.toString('base64url'), 'co-op', [VERIFIER]],
-    ['cut short', token.slice(0, 10), 'co-op', [VERIFIER]],
+    ['truncated', token.slice(0, 10), 'co-op', [VERIFIER]],
     ['not a token', '%%%', 'co-op', [VERIFIER]],
   ];
 
-  // Guards against a forged token, or one of another workspace, that is used.
-  it.each(cases)('%s', (unusedName, text, workspace, verifiers) => {
-    expect(decodeSessionToken(text, workspace, verifiers)).toMatchSnapshot();
-  });
+  // Guards against the use of a forged token or one of another workspace.
+  it.each(cases)(
+    'is valid only for its workspace and keys: %s',
+    (unusedName, text, workspace, verifiers) => {
+      expect(decodeSessionToken(text, workspace, verifiers)).toMatchSnapshot();
+    },
+  );
 });
