--- a/packages/gateway/src/database/__tests__/member_table.test.ts
+++ b/packages/gateway/src/database/__tests__/member_table.test.ts
@@ -3,7 +3,7 @@
 import type {MemberConnection} from '../member_connection.js';
 import {MemberTable} from '../member_table.js';
 
-/** A connection that holds nothing and can be used again. */
+/** Creates a reusable connection without session values. */
 function cleanConnection(): MemberConnection {
   const connection = {
     state: 'clean',
@@ -13,8 +13,8 @@
   return connection as unknown as MemberConnection;
 }
 
-/** The connections that a VM keeps after a burst of statements. */
-function keptAfterBurst(connectionLimit: number, vmCount: number): number {
+/** Returns the number of connections that a VM keeps open after a burst. */
+function countIdleAfterBurst(connectionLimit: number, vmCount: number): number {
   const table = new MemberTable({
     vm: {dataCentre: 'macon', region: 'ga'},
     regionOf: () => 'ga',
@@ -53,8 +53,9 @@
 }
 
 describe('MemberTable', () => {
-  // Guards against idle connections that fill a member, so that VMs which come
-  // back after a loss of power, or most VMs of a large fleet, get none.
+  // Guards against idle connections that use up a member's connection limit:
+  // VMs that restart after a power loss, or most VMs of a large fleet, would get
+  // none.
   it.each([
     [16, 8],
     [26, 6],
@@ -62,11 +63,14 @@
     [53, 70],
     [210, 62],
     [2, 1],
-  ])('with %i connections and %i VMs', (connections, vms) => {
-    const kept = keptAfterBurst(connections, vms);
-    const all = kept * vms;
-    expect({kept, all}).toMatchSnapshot();
-    // One connection of each VM is the least that can be kept at all.
-    expect(all).toBeLessThanOrEqual(Math.max(vms, connections / 2));
-  });
+  ])(
+    'keeps at most half of the connections idle: limit %i, %i VMs',
+    (connections, vms) => {
+      const kept = countIdleAfterBurst(connections, vms);
+      const all = kept * vms;
+      expect({kept, all}).toMatchSnapshot();
+      // A VM that keeps any connection keeps at least one.
+      expect(all).toBeLessThanOrEqual(Math.max(vms, connections / 2));
+    },
+  );
 });
--- a/packages/gateway/src/database/control_connections.ts
+++ b/packages/gateway/src/database/control_connections.ts
@@ -3,12 +3,16 @@
 import type {MemberCommand, MemberLinks} from '../ports/member_link.js';
 import type {StatusResult} from './database_message.js';
 
-/** How long a member may take for each step of a control command. */
+/** The time limit of each step: to connect, and to run the command. */
 const CONTROL_TIMEOUT_MS = 300;
-/** What a member is told in place of a workspace. */
-const CONTROL_NAME = '-';
+/** Sent to a member in place of a workspace. */
+const CONTROL_WORKSPACE = '-';
 
-/** Whether a member answered at all; one without a free slot did. */
+/**
+ * Whether a member responded at all. One that rejects the request does, for
+ * example because it has no free slot; another member at its address doesn't
+ * count.
+ */
 export function answersNow(status: StatusResult): boolean {
   if (status.ok || status.err === 'unreadable') return true;
   return (
@@ -17,8 +21,8 @@
 }
 
 /**
- * Sends control commands to members, each on a connection of its own, which
- * shows whether the member can be reached anew.
+ * Sends control commands to members. Each command opens a connection of its
+ * own, which also checks that the member accepts new connections.
  */
 export class ControlConnections {
   constructor(
@@ -26,10 +30,12 @@
     private readonly links: MemberLinks,
   ) {}
 
+  /** Queries the member's status. */
   status(listed: ListedMember): Promise<StatusResult> {
     return this.send(listed, {kind: 'status'});
   }
 
+  /** Demotes the member if it leads in a term lower than `term`. */
   stepDown(listed: ListedMember, term: number): Promise<StatusResult> {
     return this.send(listed, {kind: 'step-down', term});
   }
@@ -39,7 +45,7 @@
     command: MemberCommand,
   ): Promise<StatusResult> {
     const {group} = this;
-    const link = this.links.create({member, address, group}, CONTROL_NAME);
+    const link = this.links.create({member, address, group}, CONTROL_WORKSPACE);
     try {
       const opened = await link.open(CONTROL_TIMEOUT_MS);
       if (!opened.ok) return opened;
--- a/packages/gateway/src/database/database_message.ts
+++ b/packages/gateway/src/database/database_message.ts
@@ -11,92 +11,115 @@
 import type {Lease, LeaseRefusal, LeaseRequest} from './lease.js';
 import type {HeardAnswer, MemberConnection} from './member_connection.js';
 
-/** A member's report, or why there is none. */
+/** The status that a member reported, or why none was received. */
 export type StatusResult = Result<MemberStatus, LinkFault | 'unreadable'>;
 
-/** What operators and the directory say of a group. */
+/**
+ * A group as the configuration, the member directory and the fleet describe
+ * it. The task receives a new one after each change of these sources.
+ */
 export interface GroupView {
   readonly settings: GroupSettings;
   readonly members: readonly ListedMember[];
+  /** Data centres that operators took out; their members get no new work. */
   readonly dataCentresOut: ReadonlySet<string>;
-  /** The VMs that share each member's connections. */
+  /** The number of VMs that share each member's connections. */
   readonly vmCount: number;
 }
 
-/** How the use of a primary ends. */
+/** How a VM stops using a primary. */
 export type StopMode =
-  /** Statements under way may finish. */
+  /** Running statements may finish. */
   | 'finish'
-  /** Nothing more is expected of the member. */
+  /** All connections close at once, without waiting for results. */
   | 'abandon';
 
-/** Whether a member still had the role under which it was leased. */
+/**
+ * Whether a member still holds the role in which its connection was checked
+ * out. A result from an expired checkout must not be passed on.
+ */
 export type LeaseValidity = 'valid' | 'expired';
 
+/** The messages that a group's task handles. */
 export type DatabaseMessage =
   | {readonly kind: 'view'; readonly view: GroupView}
   | {
       readonly kind: 'leadership';
       readonly leadership: VersionedLeadership | undefined;
     }
+  /** Checks out a connection for a statement or transaction. */
   | {
-      readonly kind: 'lease';
+      readonly kind: 'check-out';
       readonly request: LeaseRequest;
       readonly reply: Reply<Result<Lease, LeaseRefusal>>;
     }
-  | {readonly kind: 'release'; readonly lease: Lease}
-  /** Asks whether the answer of a lease's member may be passed on. */
+  /** Returns a checked-out connection to its pool. */
+  | {readonly kind: 'return'; readonly lease: Lease}
+  /** Checks whether a result of a checkout's member may be passed on. */
   | {
       readonly kind: 'confirm';
       readonly lease: Lease;
       readonly reply: Reply<LeaseValidity>;
     }
+  /** A replica refused a statement because it lacked the required position. */
   | {
       readonly kind: 'behind';
       readonly member: string;
       readonly applied: LogPosition | undefined;
     }
+  /** A member refused a write although it is recorded as the primary. */
   | {readonly kind: 'not-primary'; readonly member: string}
+  /** A connection sent a request to its member. */
   | {
       readonly kind: 'sent';
       readonly member: string;
       readonly connection: MemberConnection;
     }
+  /** A connection received a complete response. */
   | {
       readonly kind: 'answered';
       readonly member: string;
       readonly connection: MemberConnection;
-      readonly heard: HeardAnswer;
+      readonly info: HeardAnswer;
       readonly at: number;
     }
+  /** A request on a connection got no complete response. */
   | {
       readonly kind: 'fault';
       readonly member: string;
       readonly connection: MemberConnection;
       readonly fault: LinkFault;
     }
+  /** The result of a status probe of a failed member. */
   | {
       readonly kind: 'probed';
       readonly member: string;
       readonly status: StatusResult;
     }
-  /** Ends the use of the primary as of a version of its record. */
+  /**
+   * Stops using the primary that the given version of the leadership record
+   * replaces. The reply is the latest log position observed at the primary.
+   */
   | {
       readonly kind: 'stop-primary';
       readonly leadership: VersionedLeadership;
       readonly mode: StopMode;
       readonly reply: Reply<LogPosition | undefined>;
     }
+  /** Requests this VM's primary observation. */
   | {readonly kind: 'sight'; readonly reply: Reply<PrimarySighting>}
+  /** Queries a member's status over a new connection. */
   | {
       readonly kind: 'status';
       readonly member: string;
       readonly reply: Reply<StatusResult>;
     }
+  /** Demotes a member that leads in a term lower than `term`. */
   | {
       readonly kind: 'step-down';
       readonly member: string;
       readonly term: number;
     }
+  /** Runs the periodic maintenance. */
   | {readonly kind: 'tick'}
   | {readonly kind: 'close'};
--- a/packages/gateway/src/database/database_task.ts
+++ b/packages/gateway/src/database/database_task.ts
@@ -26,29 +26,29 @@
 
 const TICK_MS = 50;
 
-type LeaseMessage = Extract<DatabaseMessage, {kind: 'lease'}>;
-type LeaseReply = Reply<Result<Lease, LeaseRefusal>>;
+type CheckoutMessage = Extract<DatabaseMessage, {kind: 'check-out'}>;
+type CheckoutReply = Reply<Result<Lease, LeaseRefusal>>;
 
-/** Owns one VM's view of a group, its connections and its right to write. */
+/** Owns this VM's members, connections and leadership record of one group. */
 export class DatabaseTask extends Task<DatabaseMessage> {
   private leadership: VersionedLeadership | undefined;
   private samples: PositionSamples = [];
   private readonly members: MemberTable;
   private readonly stops = new PrimaryStops();
-  /** Members that are being asked whether they answer again. */
+  /** Members with a pending status probe. */
   private readonly probing = new Set<string>();
-  /** Statements that wait for a primary. */
-  private waiting: LeaseMessage[] = [];
+  /** Requests that wait until a primary change ends. */
+  private deferred: CheckoutMessage[] = [];
   private ticker: NodeJS.Timeout | undefined;
   private readonly control: ControlConnections;
 
   constructor(
     private readonly group: string,
-    private readonly tools: DatabaseTools,
+    private readonly deps: DatabaseTools,
   ) {
     super();
-    this.control = new ControlConnections(group, tools.links);
-    const {vm, regionOf} = tools;
+    this.control = new ControlConnections(group, deps.links);
+    const {vm, regionOf} = deps;
     this.members = new MemberTable({
       vm,
       regionOf,
@@ -57,27 +57,27 @@
   }
 
   protected override handle(message: DatabaseMessage): void {
-    this.dispatch(message, this.tools.clock());
+    this.dispatch(message, this.deps.clock());
     this.scheduleTick();
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.onFailed(err);
+    this.deps.onFailed(err);
   }
 
   private dispatch(message: DatabaseMessage, now: number): void {
     switch (message.kind) {
       case 'view':
         this.members.setView(message.view, now);
-        this.serveWaiting(now);
+        this.retryDeferred(now);
         return;
       case 'leadership':
         this.setLeadership(message.leadership, now);
         return;
-      case 'lease':
-        this.lease(message, now);
+      case 'check-out':
+        this.checkOut(message, now);
         return;
-      case 'release': {
+      case 'return': {
         const {member, connection} = message.lease;
         this.members.pool(member)?.release(connection, now);
         this.finishStops(now);
@@ -90,7 +90,7 @@
         this.members.behind(message.member, message.applied, now);
         return;
       case 'not-primary':
-        this.notPrimary(message.member, now);
+        this.handleNotPrimary(message.member, now);
         return;
       case 'sent':
         this.members.sent(message.member, message.connection, now);
@@ -99,10 +99,10 @@
         this.answered(message);
         return;
       case 'fault':
-        this.faulted(message, now);
+        this.handleFault(message, now);
         return;
       case 'probed':
-        this.probed(message.member, message.status, now);
+        this.handleProbe(message.member, message.status, now);
         return;
       case 'stop-primary':
         this.stopPrimary(message, now);
@@ -131,7 +131,7 @@
     listed: ListedMember,
     workspace: string,
   ): MemberConnection {
-    const {links, clock, onFailed} = this.tools;
+    const {links, clock, onFailed} = this.deps;
     const {member, address} = listed;
     const connection: MemberConnection = new MemberConnection(
       member,
@@ -139,8 +139,8 @@
       clock,
       {
         onSent: () => this.tell({kind: 'sent', member, connection}),
-        onAnswered: heard =>
-          this.tell({kind: 'answered', member, connection, heard, at: clock()}),
+        onAnswered: info =>
+          this.tell({kind: 'answered', member, connection, info, at: clock()}),
         onFault: fault => this.tell({kind: 'fault', member, connection, fault}),
       },
       onFailed,
@@ -148,6 +148,7 @@
     return connection;
   }
 
+  /** Applies a newer leadership record; stops using a replaced primary. */
   private setLeadership(
     leadership: VersionedLeadership | undefined,
     now: number,
@@ -159,22 +160,22 @@
     const before = this.leadership?.record;
     this.leadership = leadership;
     const {record, version} = leadership;
-    this.tools.log.info(
+    this.deps.log.info(
       {event: 'leadership.learned', group: this.group, version, record},
-      'leadership of the group changed',
+      'leadership record of the group changed',
     );
     const former = before?.phase === 'settled' ? before.primary : undefined;
     if (record.phase === 'moving') {
       const mode = record.reason === 'leaving' ? 'finish' : 'abandon';
-      this.endUse(record.from, mode);
+      this.stopUsing(record.from, mode);
     } else if (former !== undefined && former !== record.primary) {
-      this.endUse(former, 'abandon');
+      this.stopUsing(former, 'abandon');
     }
-    this.serveWaiting(now);
+    this.retryDeferred(now);
   }
 
-  /** Lets statements on a former primary finish, or ends them. */
-  private endUse(member: string, mode: StopMode): void {
+  /** Stops using a former primary; its statements finish or are aborted. */
+  private stopUsing(member: string, mode: StopMode): void {
     const pool = this.members.pool(member);
     if (mode === 'abandon') pool?.abandon();
     else pool?.drain();
@@ -197,42 +198,42 @@
 
   private finishStops(now: number): void {
     if (this.stops.size === 0) return;
-    const lastSeen = this.samples.at(-1)?.end;
-    this.stops.finish(member => this.members.pool(member), lastSeen, now);
+    const latestPosition = this.samples.at(-1)?.end;
+    this.stops.finish(member => this.members.pool(member), latestPosition, now);
   }
 
-  private lease(message: LeaseMessage, now: number): void {
+  private checkOut(message: CheckoutMessage, now: number): void {
     const {request, reply} = message;
     const placed = placeStatement(request, {
       members: this.members,
       samples: this.samples,
-      right: this.tools.right(this.leadership),
+      right: this.deps.right(this.leadership),
       record: this.leadership?.record,
       now,
     });
     if (placed.ok) {
       this.enqueue(placed.value, request, reply, now);
-    } else if (placed.err.kind === 'primary-moving' && now < request.until) {
-      this.waiting.push(message);
+    } else if (placed.err.kind === 'primary-changing' && now < request.until) {
+      this.deferred.push(message);
     } else {
       reply.answer(placed);
     }
   }
 
-  /** A replica's answer stands, as it held the position that was asked for. */
+  /** A replica's result stays valid: the replica had the required position. */
   private validityOf({role, member}: Lease): LeaseValidity {
     return role === 'replica' || this.isPrimary(member) ? 'valid' : 'expired';
   }
 
   private isPrimary(member: string): boolean {
-    const right = this.tools.right(this.leadership);
+    const right = this.deps.right(this.leadership);
     return right.kind === 'granted' && right.primary === member;
   }
 
   private enqueue(
     placement: Placement,
     request: LeaseRequest,
-    reply: LeaseReply,
+    reply: CheckoutReply,
     now: number,
   ): void {
     const {workspace, values, use, until} = request;
@@ -244,9 +245,9 @@
         until,
         grant: connection => reply.answer(ok({...placement, connection})),
         refuse: reason => {
-          // Another member may take it, or the next primary.
-          if (reason === 'member-left') {
-            this.tell({kind: 'lease', request, reply});
+          // Placed again, as another member or the next primary may run it.
+          if (reason === 'pool-drained') {
+            this.tell({kind: 'check-out', request, reply});
           } else {
             reply.answer(fail(poolRefusal(reason)));
           }
@@ -259,48 +260,49 @@
   private answered(
     message: Extract<DatabaseMessage, {kind: 'answered'}>,
   ): void {
-    const {member, connection, heard, at} = message;
-    if (this.members.answered(member, connection, heard, at)) {
-      this.logMember('member.answers', member, 'member answers');
+    const {member, connection, info, at} = message;
+    if (this.members.answered(member, connection, info, at)) {
+      this.logMember('member.answers', member, 'member responds again');
     }
-    const {askedAt, applied: end} = heard;
-    // Only what the primary reports while the right holds is a valid sample.
+    const {sentAt, applied: end} = info;
+    // A position counts only if the VM holds the primary lease on receipt.
     if (end && this.isPrimary(member)) {
-      this.samples = addPositionSample(this.samples, {askedAt, end});
+      this.samples = addPositionSample(this.samples, {askedAt: sentAt, end});
     }
   }
 
-  private faulted(
+  private handleFault(
     message: Extract<DatabaseMessage, {kind: 'fault'}>,
     now: number,
   ): void {
     const {member, connection, fault} = message;
-    const meaning = this.members.faulted(member, connection, fault, now);
-    if (meaning === 'failed') {
-      this.logMember('member.fails', member, 'member does not answer', fault);
+    const faultEffect = this.members.faulted(member, connection, fault, now);
+    if (faultEffect === 'failed') {
+      this.logMember('member.fails', member, 'member does not respond', fault);
     }
-    if (meaning !== 'answered') this.suspect(now);
+    if (faultEffect !== 'answered') this.suspect(now);
   }
 
-  /** A member refused a write although it is recorded as the primary. */
-  private notPrimary(member: string, now: number): void {
+  /** Handles a write that the recorded primary refused as it does not lead. */
+  private handleNotPrimary(member: string, now: number): void {
     if (!this.isPrimary(member)) return;
     this.members.failed(member, now);
     this.suspect(now);
   }
 
+  /** Reports the recorded primary if it is unreachable. */
   private suspect(now: number): void {
     const record = this.leadership?.record;
     if (record?.phase !== 'settled') return;
     const {primary} = record;
     if (this.members.sighting(primary, now) !== 'unreachable') return;
     const since = this.members.failingSince(primary) ?? now;
-    this.tools.onSuspect(this.group, primary, since);
+    this.deps.onSuspect(this.group, primary, since);
   }
 
   /**
-   * Says how the primary looks, or the one that is being replaced, and asks it
-   * where nothing is known.
+   * Replies with this VM's observation of the primary, or of the one that is
+   * being replaced. Queries the member's status unless it responded recently.
    */
   private async sight(reply: Reply<PrimarySighting>): Promise<void> {
     const record = this.leadership?.record;
@@ -310,7 +312,7 @@
       reply.answer('unknown');
       return;
     }
-    const seen = this.members.sighting(primary, this.tools.clock());
+    const seen = this.members.sighting(primary, this.deps.clock());
     if (seen === 'reachable') {
       reply.answer(seen);
       return;
@@ -331,14 +333,14 @@
 
   private tick(now: number): void {
     this.members.maintain(now);
-    this.probeFailing(now);
+    this.probeFailedMembers(now);
     this.finishStops(now);
-    this.serveWaiting(now);
+    this.retryDeferred(now);
     this.suspect(now);
   }
 
-  /** Asks members that failed whether they answer, in place of statements. */
-  private probeFailing(now: number): void {
+  /** Probes failing members, so that no caller's statement has to. */
+  private probeFailedMembers(now: number): void {
     for (const listed of this.members.toProbe(now)) {
       const {member} = listed;
       if (this.probing.has(member)) continue;
@@ -349,36 +351,36 @@
     }
   }
 
-  private probed(member: string, status: StatusResult, now: number): void {
+  private handleProbe(member: string, status: StatusResult, now: number): void {
     this.probing.delete(member);
     if (!answersNow(status)) {
       this.members.failed(member, now);
       return;
     }
     this.members.recovered(member, now);
-    this.logMember('member.answers', member, 'member answers');
-    this.serveWaiting(now);
+    this.logMember('member.answers', member, 'member responds again');
+    this.retryDeferred(now);
   }
 
-  private serveWaiting(now: number): void {
-    const waiting = this.waiting;
-    this.waiting = [];
-    for (const message of waiting) this.lease(message, now);
+  private retryDeferred(now: number): void {
+    const requests = this.deferred;
+    this.deferred = [];
+    for (const message of requests) this.checkOut(message, now);
   }
 
   private close(): void {
     clearTimeout(this.ticker);
     this.members.abandonAll();
-    for (const {reply} of this.waiting) {
+    for (const {reply} of this.deferred) {
       reply.answer(fail(leaseRefusal('no-member', 'the VM stops')));
     }
-    this.waiting = [];
+    this.deferred = [];
   }
 
-  /** Wakes the task while somebody waits or a member owes an answer. */
+  /** Schedules maintenance while requests wait or a member is in use. */
   private scheduleTick(): void {
     const isBusy =
-      this.waiting.length > 0 || this.stops.size > 0 || this.members.isBusy;
+      this.deferred.length > 0 || this.stops.size > 0 || this.members.isBusy;
     if (this.ticker || !isBusy) return;
     this.ticker = setTimeout(() => {
       this.ticker = undefined;
@@ -392,6 +394,6 @@
     text: string,
     fault?: unknown,
   ): void {
-    this.tools.log.info({event, group: this.group, member, fault}, text);
+    this.deps.log.info({event, group: this.group, member, fault}, text);
   }
 }
--- a/packages/gateway/src/database/lease.ts
+++ b/packages/gateway/src/database/lease.ts
@@ -3,47 +3,54 @@
 
 /** Which members may run a statement. */
 export type LeaseNeed =
-  /** The primary, under a valid right to use it. */
+  /** The primary, while the VM holds a valid primary lease. */
   | {readonly kind: 'primary'}
-  /** Any member that holds what the age and the session demand. */
+  /** Any member whose data is recent enough for the route and the session. */
   | {
       readonly kind: 'recent';
+      /** The maximum age of the data that the route allows. */
       readonly maxAgeMs: number;
-      /** The session's last commit. */
+      /** The log position of the session's last commit. */
       readonly seen: LogPosition | undefined;
     };
 
+/** A request for a connection to a member that meets the requirement. */
 export interface LeaseRequest {
   readonly workspace: string;
+  /** The session's values, to prefer a connection that has them set. */
   readonly values: SessionValues;
   readonly use: 'statement' | 'transaction';
   readonly need: LeaseNeed;
-  /** Members that failed this statement. */
+  /** Members on which earlier attempts of this statement failed. */
   readonly avoid: readonly string[];
-  /** Regions to whose members the statement is confined; empty for all. */
+  /** Regions whose members may run the statement; empty for all regions. */
   readonly regions: readonly string[];
-  /** When the wait for a connection ends. */
+  /** The time at which the wait for a connection ends. */
   readonly until: number;
 }
 
-/** A connection that a statement or transaction may use. */
+/** A connection that is checked out for one statement or transaction. */
 export interface Lease {
   readonly connection: MemberConnection;
   readonly member: string;
+  /** The role in which the member is used. */
   readonly role: 'primary' | 'replica';
-  /** The log position that a replica must hold. */
+  /** The log position that a replica must have applied before it runs. */
   readonly after: LogPosition | undefined;
 }
 
-/** Why there is no lease. Nothing was run. */
+/** Why no connection was checked out. The statement was not run. */
 export interface LeaseRefusal {
   readonly kind:
     | 'no-primary'
-    | 'primary-moving'
-    | 'view-expired'
+    /** A primary change is in progress. */
+    | 'primary-changing'
+    /** This VM holds no valid primary lease. */
+    | 'no-primary-lease'
     | 'no-member'
     | 'overloaded'
-    | 'rate-of-cold-member';
+    /** The member warms up and its rate limit is used up. */
+    | 'member-warming-up';
   readonly detail: string;
   readonly retryAfterMs: number;
 }
--- a/packages/gateway/src/database/lease_refusals.ts
+++ b/packages/gateway/src/database/lease_refusals.ts
@@ -2,37 +2,41 @@
 import type {LeaseRefusal} from './lease.js';
 import type {PoolRefusal} from './member_pool.js';
 
-/** How soon a refused caller may come back. */
-const RETRY_SOON_MS = 50;
-const RETRY_MOVING_MS = 400;
+/** How soon a caller may retry a refused statement. */
+const DEFAULT_RETRY_AFTER_MS = 50;
+/** The same while a primary change is in progress. */
+const PRIMARY_CHANGE_RETRY_AFTER_MS = 400;
 
+/** Creates a refusal with the retry delay of its kind. */
 export function leaseRefusal(
   kind: LeaseRefusal['kind'],
   detail: string,
 ): LeaseRefusal {
   const retryAfterMs =
-    kind === 'primary-moving' ? RETRY_MOVING_MS : RETRY_SOON_MS;
+    kind === 'primary-changing'
+      ? PRIMARY_CHANGE_RETRY_AFTER_MS
+      : DEFAULT_RETRY_AFTER_MS;
   return {kind, detail, retryAfterMs};
 }
 
-/** The refusal of a statement for which there is no right to a primary. */
+/** Returns the refusal of a statement that requires a denied primary lease. */
 export function refusalOf(
   reason: Extract<PrimaryRight, {kind: 'denied'}>['reason'],
 ): LeaseRefusal {
   switch (reason) {
     case 'moving':
-      return leaseRefusal('primary-moving', 'the group gets another primary');
+      return leaseRefusal('primary-changing', 'the group gets another primary');
     case 'no-record':
       return leaseRefusal('no-primary', 'no primary is recorded');
     case 'proof-expired':
     case 'not-joined':
-      return leaseRefusal('view-expired', reason);
+      return leaseRefusal('no-primary-lease', reason);
   }
 }
 
-/** The refusal of a statement that waited in a pool's queue. */
+/** Returns the refusal of a statement that a pool's queue rejected. */
 export function poolRefusal(
-  reason: Exclude<PoolRefusal, 'member-left'>,
+  reason: Exclude<PoolRefusal, 'pool-drained'>,
 ): LeaseRefusal {
   switch (reason) {
     case 'queue-full':
@@ -40,7 +44,7 @@
         'overloaded',
         'too many statements of the workspace wait',
       );
-    case 'wait-ended':
+    case 'wait-timed-out':
       return leaseRefusal('overloaded', 'no connection became free in time');
   }
 }
--- a/packages/gateway/src/database/member_connection.ts
+++ b/packages/gateway/src/database/member_connection.ts
@@ -25,41 +25,44 @@
   MemberRequest,
 } from '../ports/member_link.js';
 
-/** How long a member may take to accept a connection. */
+/** The time limit for opening a connection. */
 const OPEN_TIMEOUT_MS = 400;
-/** How long a command takes that needs no slot of the member. */
+/** The time limit of a setup command, which takes no slot of the member. */
 const SETUP_TIMEOUT_MS = 400;
 
-/** A statement with what the connection must hold when it runs. */
+/** A statement and the connection state that it requires. */
 export interface ConnectionJob {
   readonly values: SessionValues;
   readonly prepared?: PreparedStatement | undefined;
   /** Begins a transaction before the statement. */
   readonly begin?: 'read' | 'write' | undefined;
+  /** The log position that the member must have applied. */
   readonly after?: LogPosition | undefined;
   readonly request: MemberRequest;
-  /** When the statement's time is over. */
+  /** The time at which the statement times out. */
   readonly deadline: number;
 }
 
-/** A job without a result. */
+/** Why a job has no result. */
 export interface JobFault {
   readonly failure: AttemptFailure;
   readonly detail: string;
   /** The member's error, if it sent one. */
   readonly error?: MemberError;
-  /** The end of the log that the member reported with its error. */
+  /** The applied log position that the member sent with its error. */
   readonly applied?: LogPosition | undefined;
 }
 
+/** The result of a job that succeeded. */
 export interface JobAnswer {
   readonly answer: MemberAnswer;
-  /** When the statement was sent. */
-  readonly askedAt: number;
+  /** The time at which the statement was sent. */
+  readonly sentAt: number;
 }
 
 export type JobResult = Result<JobAnswer, JobFault>;
 
+/** The messages that a member connection handles. */
 export type ConnectionMessage =
   | {
       readonly kind: 'run';
@@ -68,27 +71,32 @@
     }
   | {readonly kind: 'close'};
 
-/** Whether another statement can use a connection. */
+/** The state of a connection; only a `clean` one returns to the pool. */
 export type ConnectionState = 'new' | 'clean' | 'in-transaction' | 'closed';
 
-/** What a connection reports of its member while it works. */
+/** Callbacks through which a connection reports on its member. */
 export interface ConnectionEvents {
   readonly onSent: () => void;
-  readonly onAnswered: (heard: HeardAnswer) => void;
+  readonly onAnswered: (info: HeardAnswer) => void;
   readonly onFault: (fault: LinkFault) => void;
 }
 
+/** What a response shows about its member. */
 export interface HeardAnswer {
-  readonly askedAt: number;
+  /** The time at which the request was sent. */
+  readonly sentAt: number;
   readonly applied: LogPosition | undefined;
-  /** Whether the answer was to a statement that did work. */
+  /** Whether the request was a caller's statement or a setup command. */
   readonly work: 'statement' | 'setup';
 }
 
-/** Owns one connection to a member and what the connection holds. */
+/**
+ * Owns one connection to a member and tracks the values and prepared
+ * statements that the connection holds.
+ */
 export class MemberConnection extends Task<ConnectionMessage> {
   private contents: ConnectionContents = EMPTY_CONTENTS;
-  private current: ConnectionState = 'new';
+  private recordedState: ConnectionState = 'new';
 
   constructor(
     readonly member: string,
@@ -100,12 +108,14 @@
     super();
   }
 
+  /** The state, which is `closed` as soon as the link is unusable. */
   get state(): ConnectionState {
-    return this.link.isUsable || this.current === 'new'
-      ? this.current
+    return this.link.isUsable || this.recordedState === 'new'
+      ? this.recordedState
       : 'closed';
   }
 
+  /** The session values that are set on the connection. */
   get values(): SessionValues {
     return this.contents.values;
   }
@@ -115,7 +125,7 @@
       this.close();
       return;
     }
-    // Not awaited, so that a close is handled while the member works.
+    // Not awaited, so that a close is handled while the request runs.
     this.run(message.job).then(message.reply.answer, (err: unknown) => {
       this.onFailure(err);
       message.reply.answer(
@@ -130,7 +140,7 @@
   }
 
   private close(): void {
-    this.current = 'closed';
+    this.recordedState = 'closed';
     this.link.close();
   }
 
@@ -138,30 +148,31 @@
     const ready = await this.prepare(job);
     if (!ready.ok) return ready;
     const {request, deadline} = job;
-    const askedAt = this.clock();
+    const sentAt = this.clock();
     const sent = await this.send(
       this.withStatementName(job, request),
-      deadline - askedAt,
+      deadline - sentAt,
       'statement',
     );
     if (!sent.ok) return fail(toJobFault(sent.err));
     const answer = sent.value;
-    this.current = answer.transaction === 'none' ? 'clean' : 'in-transaction';
+    this.recordedState =
+      answer.transaction === 'none' ? 'clean' : 'in-transaction';
     const {outcome} = answer;
-    if (outcome.kind === 'done') return ok({answer, askedAt});
-    // What the connection was thought to hold is wrong.
+    if (outcome.kind === 'done') return ok({answer, sentAt});
+    // The recorded contents of the connection are wrong.
     if (outcome.error.kind === 'no-prepared-statement') this.close();
     return fail({
-      failure: failureOf(outcome.error.kind),
+      failure: toAttemptFailure(outcome.error.kind),
       detail: `${outcome.error.code} ${outcome.error.text}`,
       error: outcome.error,
       applied: answer.applied,
     });
   }
 
-  /** Opens the connection and sets up what the statement needs. */
+  /** Opens the connection and sets up the state that the job requires. */
   private async prepare(job: ConnectionJob): Promise<Result<void, JobFault>> {
-    if (this.current === 'new') {
+    if (this.recordedState === 'new') {
       this.events.onSent();
       const opened = await this.link.open(
         Math.min(OPEN_TIMEOUT_MS, job.deadline - this.clock()),
@@ -169,42 +180,44 @@
       if (!opened.ok) {
         this.close();
         this.events.onFault(opened.err);
-        return fail(notSent(opened.err));
+        return fail(toNotSentFault(opened.err));
       }
       this.events.onAnswered({
-        askedAt: this.clock(),
+        sentAt: this.clock(),
         applied: undefined,
         work: 'setup',
       });
-      if (this.state === 'closed') return fail(CLOSED);
-      this.current = 'clean';
+      if (this.state === 'closed') return fail(CONNECTION_CLOSED);
+      this.recordedState = 'clean';
     }
     for (const step of planPreparation(
       this.contents,
       job.values,
       job.prepared,
     )) {
-      const done = await this.setUp({command: step});
+      const done = await this.runSetupCommand({command: step});
       if (!done.ok) return done;
       this.contents = afterPreparation(this.contents, step);
     }
     if (job.begin === undefined) return ok(undefined);
-    const begun = await this.setUp({
+    const begun = await this.runSetupCommand({
       command: {kind: 'begin', access: job.begin},
       after: job.after,
     });
-    if (begun.ok) this.current = 'in-transaction';
+    if (begun.ok) this.recordedState = 'in-transaction';
     return begun;
   }
 
-  private async setUp(request: MemberRequest): Promise<Result<void, JobFault>> {
+  private async runSetupCommand(
+    request: MemberRequest,
+  ): Promise<Result<void, JobFault>> {
     const sent = await this.send(request, SETUP_TIMEOUT_MS, 'setup');
-    if (!sent.ok) return fail(notSent(sent.err));
+    if (!sent.ok) return fail(toNotSentFault(sent.err));
     const {outcome, applied} = sent.value;
     if (outcome.kind === 'done') return ok(undefined);
-    const failure = failureOf(outcome.error.kind);
+    const failure = toAttemptFailure(outcome.error.kind);
     return fail({
-      // The caller's statement was not sent, whatever the error says.
+      // The caller's statement was not sent, whatever the error is.
       failure:
         failure === 'failed' || failure === 'timed-out' ? 'refused' : failure,
       detail: `${request.command.kind}: ${outcome.error.code} ${outcome.error.text}`,
@@ -213,17 +226,18 @@
     });
   }
 
+  /** Runs a request; a fault closes the connection. */
   private async send(
     request: MemberRequest,
     timeoutMs: number,
     work: 'statement' | 'setup',
   ): Promise<Result<MemberAnswer, LinkFault>> {
-    const askedAt = this.clock();
+    const sentAt = this.clock();
     this.events.onSent();
     const result = await this.link.run(request, Math.max(1, timeoutMs));
     if (result.ok) {
       const {applied} = result.value;
-      this.events.onAnswered({askedAt, applied, work});
+      this.events.onAnswered({sentAt, applied, work});
     } else {
       this.close();
       this.events.onFault(result.err);
@@ -231,6 +245,10 @@
     return result;
   }
 
+  /**
+   * Adds the required position, unless the `begin` carried it already, and the
+   * name of the prepared statement on this connection.
+   */
   private withStatementName(
     job: ConnectionJob,
     request: MemberRequest,
@@ -244,9 +262,13 @@
   }
 }
 
-const CLOSED: JobFault = {failure: 'not-sent', detail: 'connection closed'};
+const CONNECTION_CLOSED: JobFault = {
+  failure: 'not-sent',
+  detail: 'connection closed',
+};
 
-function notSent(fault: LinkFault): JobFault {
+/** Converts a fault that occurred before the statement was sent. */
+function toNotSentFault(fault: LinkFault): JobFault {
   const {failure, ...rest} = toJobFault(fault);
   return {...rest, failure: failure === 'wrong-member' ? failure : 'not-sent'};
 }
@@ -272,7 +294,7 @@
   }
 }
 
-function failureOf(kind: MemberErrorKind): AttemptFailure {
+function toAttemptFailure(kind: MemberErrorKind): AttemptFailure {
   switch (kind) {
     case 'busy':
     case 'too-many-connections':
--- a/packages/gateway/src/database/member_health.ts
+++ b/packages/gateway/src/database/member_health.ts
@@ -1,30 +1,37 @@
 import type {LogPosition, PrimarySighting} from '@pistachiorill/core';
 
-/** The weight of the last answer in the mean. */
-const MEAN_WEIGHT = 0.1;
-const INITIAL_MEAN_MS = 10;
-/** A request without an answer for this long counts as a failure. */
-const SILENT_AFTER_MS = 400;
-/** How long a member is avoided after a failure; doubles up to the limit. */
-const FIRST_AVOID_MS = 300;
+/** The weight of the newest sample in the moving average of the latency. */
+const LATENCY_EWMA_WEIGHT = 0.1;
+const INITIAL_MEAN_LATENCY_MS = 10;
+/** A request without a response for this long counts as a failure. */
+const UNRESPONSIVE_AFTER_MS = 400;
+/**
+ * How long a member is avoided after its first failure. Doubles with each
+ * further failure, up to `MAX_AVOID_MS`.
+ */
+const INITIAL_AVOID_MS = 300;
 const MAX_AVOID_MS = 3_000;
-/** How long an answer shows that a member is reachable. */
-const RECENT_ANSWER_MS = 1_500;
+/** A member counts as reachable for this long after a response. */
+const REACHABLE_AFTER_ANSWER_MS = 1_500;
 
-/** What one VM has seen of a member. */
+/** The state of a member as observed by this VM. */
 export interface MemberHealth {
+  /** The moving average of the statement latency. */
   readonly meanMs: number;
-  /** The end of the log that it last served reads from. */
+  /** The last applied log position that the member reported. */
   readonly applied: LogPosition | undefined;
   readonly lastAnswerAt: number;
-  /** The first failure since the last answer. */
+  /** The time of the first failure since the last response. */
   readonly failingSince: number | undefined;
+  /** The number of failures since the last response. */
   readonly failures: number;
+  /** Reads prefer other members until this time. */
   readonly avoidUntil: number;
 }
 
+/** The health of a member without any response or failure so far. */
 export const NEW_MEMBER_HEALTH: MemberHealth = {
-  meanMs: INITIAL_MEAN_MS,
+  meanMs: INITIAL_MEAN_LATENCY_MS,
   applied: undefined,
   lastAnswerAt: -Infinity,
   failingSince: undefined,
@@ -32,6 +39,7 @@
   avoidUntil: -Infinity,
 };
 
+/** Records a response; setup commands don't count for the latency. */
 export function afterAnswer(
   health: MemberHealth,
   answer: {
@@ -46,7 +54,7 @@
     meanMs:
       answer.work === 'setup'
         ? meanMs
-        : meanMs + (answer.tookMs - meanMs) * MEAN_WEIGHT,
+        : meanMs + (answer.tookMs - meanMs) * LATENCY_EWMA_WEIGHT,
     applied: answer.applied ?? health.applied,
     lastAnswerAt: now,
     failingSince: undefined,
@@ -55,10 +63,11 @@
   };
 }
 
+/** Records a failure and avoids the member with exponential backoff. */
 export function afterFailure(health: MemberHealth, now: number): MemberHealth {
   const avoidMs = Math.min(
     MAX_AVOID_MS,
-    FIRST_AVOID_MS * 2 ** Math.min(8, health.failures),
+    INITIAL_AVOID_MS * 2 ** Math.min(8, health.failures),
   );
   return {
     ...health,
@@ -68,7 +77,7 @@
   };
 }
 
-/** Avoids a replica for a while that did not hold what was asked for. */
+/** Avoids a replica that did not hold the required position for `avoidMs`. */
 export function afterBehind(
   health: MemberHealth,
   applied: LogPosition | undefined,
@@ -82,16 +91,21 @@
   };
 }
 
-/** How a member looks, given its oldest request without an answer. */
+/**
+ * Returns whether the member is reachable, given the time of its oldest request
+ * without a response.
+ */
 export function sightingOf(
   health: MemberHealth,
   oldestPendingAt: number | undefined,
   now: number,
 ): PrimarySighting {
-  const isSilent =
+  const isUnresponsive =
     oldestPendingAt !== undefined &&
-    now - oldestPendingAt > SILENT_AFTER_MS &&
+    now - oldestPendingAt > UNRESPONSIVE_AFTER_MS &&
     health.lastAnswerAt < oldestPendingAt;
-  if (isSilent || health.failingSince !== undefined) return 'unreachable';
-  return now - health.lastAnswerAt < RECENT_ANSWER_MS ? 'reachable' : 'unknown';
+  if (isUnresponsive || health.failingSince !== undefined) return 'unreachable';
+  return now - health.lastAnswerAt < REACHABLE_AFTER_ANSWER_MS
+    ? 'reachable'
+    : 'unknown';
 }
--- a/packages/gateway/src/database/member_pool.ts
+++ b/packages/gateway/src/database/member_pool.ts
@@ -2,81 +2,95 @@
 import type {SessionValues} from '@pistachiorill/core';
 import type {MemberConnection} from './member_connection.js';
 
-/** What a statement or transaction wants a connection for. */
+/** A statement's or transaction's demand for a connection. */
 export interface ConnectionWant {
   readonly workspace: string;
   readonly values: SessionValues;
   readonly use: 'statement' | 'transaction';
-  /** When the wait ends. */
+  /** The time at which the wait for a connection ends. */
   readonly until: number;
 }
 
-/** A want that waits for its turn. */
+/** A queued request; either `grant` or `refuse` is called, once. */
 export interface PoolWaiter extends ConnectionWant {
   readonly grant: (connection: MemberConnection) => void;
   readonly refuse: (reason: PoolRefusal) => void;
 }
 
-export type PoolRefusal = 'queue-full' | 'wait-ended' | 'member-left';
+/** Why a pool granted no connection. */
+export type PoolRefusal =
+  | 'queue-full'
+  | 'wait-timed-out'
+  /** The member takes no new work; another one may run the statement. */
+  | 'pool-drained';
 
 interface PooledConnection {
   readonly connection: MemberConnection;
   readonly workspace: string;
   readonly use: 'idle' | 'statement' | 'transaction';
+  /** The time at which the current use began. */
   readonly since: number;
 }
 
-/** Waiting statements of one workspace for one member. */
-const QUEUE_LIMIT = 64;
-/** Idle connections above the VM's share close after this. */
-const SPARE_IDLE_MS = 15;
-/** How long no connection is opened after the member refused one. */
-const FULL_BACKOFF_MS = 25;
-/** How often a limit that was lowered by a refusal grows by one. */
-const REGROW_MS = 200;
+/** The maximum number of requests that one workspace queues per member. */
+const MAX_QUEUED_PER_WORKSPACE = 64;
+/** Idle connections above the VM's share close after this time. */
+const SURPLUS_IDLE_MS = 15;
+/** No connection is opened for this long after the member refused one. */
+const OPEN_BACKOFF_MS = 25;
+/** A limit that was lowered after a refusal grows by one at this interval. */
+const LIMIT_RAISE_INTERVAL_MS = 200;
 
-/** What a pool may use of its member. */
+/** The part of a member's capacity that a pool may use. */
 export interface MemberPoolLimits {
+  /** The maximum number of open connections. */
   readonly connections: number;
-  /** The connections that the VM keeps while they are idle. */
+  /** The number of idle connections that this VM may keep open. */
   readonly share: number;
-  /** Statements outside transactions that run at a time. */
+  /** The maximum number of concurrent statements outside transactions. */
   readonly statements: number;
 }
 
 /**
- * The connections of one VM to one member, each of which belongs to one
- * workspace, and the statements that wait for one. Workspaces take turns.
+ * The connections of one VM to one member and the queue of requests for them.
+ * Each connection belongs to one workspace; workspaces are served round-robin.
  */
 export class MemberPool {
   private readonly connections = new Map<MemberConnection, PooledConnection>();
-  private readonly queue = new DeficitRoundRobinPolicy<PoolWaiter>(QUEUE_LIMIT);
-  private fullUntil = -Infinity;
-  /** The connections that the member seems to have left for this VM. */
-  private learnedLimit = Infinity;
-  private regrownAt = -Infinity;
+  private readonly queue = new DeficitRoundRobinPolicy<PoolWaiter>(
+    MAX_QUEUED_PER_WORKSPACE,
+  );
+  private openBlockedUntil = -Infinity;
+  /** The number of connections that the member currently accepts. */
+  private adaptiveLimit = Infinity;
+  private limitChangedAt = -Infinity;
 
   constructor(
     private limits: MemberPoolLimits,
     private readonly open: (workspace: string) => MemberConnection,
   ) {}
 
+  /** Checked-out connections and queued requests. */
   get inFlight(): number {
     return this.count(item => item.use !== 'idle') + this.queue.size;
   }
 
+  /** The number of queued requests. */
   get waiting(): number {
     return this.queue.size;
   }
 
+  /** The number of open connections. */
   get size(): number {
     return this.connections.size;
   }
 
+  /** Replaces the limits; checked-out connections above them stay open. */
   setLimits(limits: MemberPoolLimits): void {
     this.limits = limits;
   }
 
+  /** Whether the workspace has an idle connection. */
   hasIdle(workspace: string): boolean {
     for (const item of this.connections.values()) {
       if (item.use === 'idle' && item.workspace === workspace) return true;
@@ -84,16 +98,17 @@
     return false;
   }
 
-  /** Whether a want would be granted without waiting. */
-  canGrant(want: ConnectionWant, now: number): boolean {
-    if (this.queue.size > 0 || !this.hasPlace(want.use)) return false;
+  /** Whether a request would be granted without waiting. */
+  canGrant(request: ConnectionWant, now: number): boolean {
+    if (this.queue.size > 0 || !this.hasSlot(request.use)) return false;
     return (
-      this.hasIdle(want.workspace) ||
-      ((this.hasRoom || this.oldestIdle() !== undefined) &&
-        now >= this.fullUntil)
+      this.hasIdle(request.workspace) ||
+      ((this.isBelowConnectionLimit || this.oldestIdle() !== undefined) &&
+        now >= this.openBlockedUntil)
     );
   }
 
+  /** Queues a request, or refuses it if the workspace's queue is full. */
   add(waiter: PoolWaiter, now: number): void {
     const {workspace, until} = waiter;
     if (this.queue.enqueue({workspace, until, item: waiter}) === 'full') {
@@ -103,6 +118,7 @@
     this.serve(now);
   }
 
+  /** Takes a connection back and closes it unless it can be reused. */
   release(connection: MemberConnection, now: number): void {
     const item = this.connections.get(connection);
     if (!item) return;
@@ -116,80 +132,86 @@
   }
 
   /**
-   * Lowers the limit to what is open, as the member accepts no more. The
-   * connections of all VMs count there, so the limit grows again by itself.
+   * Lowers the limit to the number of open connections, as the member refused
+   * another one. The member counts the connections of all VMs, so the limit
+   * grows again over time.
    */
   memberFull(now: number): void {
-    this.fullUntil = now + FULL_BACKOFF_MS;
-    this.learnedLimit = Math.max(1, this.limits.share, this.connections.size);
-    this.regrownAt = now;
+    this.openBlockedUntil = now + OPEN_BACKOFF_MS;
+    this.adaptiveLimit = Math.max(1, this.limits.share, this.connections.size);
+    this.limitChangedAt = now;
   }
 
-  /** Closes idle connections, whose silence would only show in use. */
+  /** Closes idle connections, as a dead one shows only when it is used. */
   dropIdle(): void {
     for (const [connection, item] of this.connections) {
-      if (item.use === 'idle') this.drop(connection);
+      if (item.use === 'idle') this.closeConnection(connection);
     }
   }
 
-  /** Closes all connections and refuses all that wait. */
+  /** Closes all connections and refuses all queued requests. */
   abandon(): void {
     for (const connection of [...this.connections.keys()]) {
-      this.drop(connection);
+      this.closeConnection(connection);
     }
-    this.refuseAll('member-left');
+    this.refuseWaiting('pool-drained');
   }
 
-  /** Closes idle connections and refuses all that wait. */
+  /** Closes idle connections and refuses all queued requests. */
   drain(): void {
     this.dropIdle();
-    this.refuseAll('member-left');
+    this.refuseWaiting('pool-drained');
   }
 
+  /**
+   * Raises a lowered limit, refuses requests whose wait ended and closes
+   * unusable and surplus idle connections.
+   */
   maintain(now: number): void {
-    if (now - this.regrownAt > REGROW_MS) {
-      this.learnedLimit++;
-      this.regrownAt = now;
+    if (now - this.limitChangedAt > LIMIT_RAISE_INTERVAL_MS) {
+      this.adaptiveLimit++;
+      this.limitChangedAt = now;
     }
     for (const entry of this.queue.removeExpired(now)) {
-      entry.item.refuse('wait-ended');
+      entry.item.refuse('wait-timed-out');
     }
     let idle = this.count(item => item.use === 'idle');
     for (const [connection, item] of this.connections) {
-      const stale = item.use === 'idle' && connection.state !== 'clean';
-      const spare =
+      const isUnusable = item.use === 'idle' && connection.state !== 'clean';
+      const isSurplus =
         item.use === 'idle' &&
         idle > this.limits.share &&
-        now - item.since > SPARE_IDLE_MS;
-      if (!stale && !spare) continue;
-      this.drop(connection);
+        now - item.since > SURPLUS_IDLE_MS;
+      if (!isUnusable && !isSurplus) continue;
+      this.closeConnection(connection);
       idle--;
     }
     this.serve(now);
   }
 
-  /** Statements and transactions that hold a connection. */
+  /** The number of checked-out connections. */
   get inUse(): number {
     return this.count(item => item.use !== 'idle');
   }
 
-  private drop(connection: MemberConnection): void {
+  private closeConnection(connection: MemberConnection): void {
     this.connections.delete(connection);
     connection.tell({kind: 'close'});
   }
 
-  private refuseAll(reason: PoolRefusal): void {
+  private refuseWaiting(reason: PoolRefusal): void {
     for (const entry of this.queue.removeExpired(Infinity)) {
       entry.item.refuse(reason);
     }
   }
 
+  /** Grants connections to queued requests until none is available. */
   private serve(now: number): void {
     while (this.queue.size > 0) {
       const next = this.queue.dequeue();
       if (!next) return;
       const waiter = next.item;
-      const connection = this.take(waiter, now);
+      const connection = this.takeConnection(waiter, now);
       if (!connection) {
         this.queue.putBack(next);
         return;
@@ -198,14 +220,14 @@
     }
   }
 
-  private take(
-    want: ConnectionWant,
+  private takeConnection(
+    request: ConnectionWant,
     now: number,
   ): MemberConnection | undefined {
-    if (!this.hasPlace(want.use)) return undefined;
-    const connection = this.takeIdle(want) ?? this.openFor(want, now);
+    if (!this.hasSlot(request.use)) return undefined;
+    const connection = this.takeIdle(request) ?? this.openFor(request, now);
     if (connection) {
-      const {workspace, use} = want;
+      const {workspace, use} = request;
       this.connections.set(connection, {
         connection,
         workspace,
@@ -216,37 +238,42 @@
     return connection;
   }
 
-  /** Prefers a connection that holds the session's values already. */
-  private takeIdle(want: ConnectionWant): MemberConnection | undefined {
+  /** Prefers a connection on which the session's values are already set. */
+  private takeIdle(request: ConnectionWant): MemberConnection | undefined {
     let found: MemberConnection | undefined;
     for (const [connection, item] of this.connections) {
-      if (item.use !== 'idle' || item.workspace !== want.workspace) continue;
+      if (item.use !== 'idle' || item.workspace !== request.workspace) continue;
       if (connection.state !== 'clean') continue;
       found = connection;
-      if (sameValues(connection.values, want.values)) break;
+      if (sameValues(connection.values, request.values)) break;
     }
     return found;
   }
 
+  /**
+   * Opens a connection. At the connection limit, the one that has been idle
+   * for longest is closed first.
+   */
   private openFor(
-    want: ConnectionWant,
+    request: ConnectionWant,
     now: number,
   ): MemberConnection | undefined {
-    if (now < this.fullUntil) return undefined;
-    if (!this.hasRoom) {
+    if (now < this.openBlockedUntil) return undefined;
+    if (!this.isBelowConnectionLimit) {
       const oldest = this.oldestIdle();
       if (!oldest) return undefined;
-      this.drop(oldest);
+      this.closeConnection(oldest);
     }
-    return this.open(want.workspace);
+    return this.open(request.workspace);
   }
 
-  private get hasRoom(): boolean {
-    const limit = Math.min(this.limits.connections, this.learnedLimit);
+  private get isBelowConnectionLimit(): boolean {
+    const limit = Math.min(this.limits.connections, this.adaptiveLimit);
     return this.connections.size < limit;
   }
 
-  private hasPlace(use: ConnectionWant['use']): boolean {
+  /** Transactions are limited by the number of connections only. */
+  private hasSlot(use: ConnectionWant['use']): boolean {
     if (use === 'transaction') return true;
     const running = this.count(item => item.use === 'statement');
     return running < this.limits.statements;
--- a/packages/gateway/src/database/member_table.ts
+++ b/packages/gateway/src/database/member_table.ts
@@ -21,59 +21,66 @@
 import {MemberPool} from './member_pool.js';
 import type {MemberPoolLimits} from './member_pool.js';
 
-/** A replica that refused a position is avoided for this long. */
+/** A replica that lacks a required position is avoided for this long. */
 const BEHIND_AVOID_MS = 150;
-/** Statements that a VM runs on a member at a time, for each of its slots. */
+/** The number of concurrent statements per VM and slot of a member. */
 const STATEMENTS_PER_SLOT = 2;
-/** The part of a member's connections that all VMs together keep idle. */
-const IDLE_SHARE = 0.5;
-/** Connections of each member that stay free for control. */
-const CONTROL_CONNECTIONS = 1;
+/** The share of a member's connections that all VMs together keep idle. */
+const IDLE_CONNECTION_SHARE = 0.5;
+/** The number of connections per member that stay free for control. */
+const RESERVED_CONTROL_CONNECTIONS = 1;
 
-/** What the table needs of the task that owns it. */
+/** The services that the table uses. */
 export interface MemberTableTools {
   readonly vm: {readonly dataCentre: string; readonly region: string};
   readonly regionOf: (dataCentre: string) => string;
+  /** Creates a connection to a member for a workspace. */
   readonly open: (listed: ListedMember, workspace: string) => MemberConnection;
 }
 
 interface MemberEntry {
   listed: ListedMember;
-  /** False once the directory no longer lists it. */
+  /** `gone` once the directory no longer lists the member. */
   state: 'listed' | 'gone';
   pool: MemberPool;
   health: MemberHealth;
-  /** When the request that each connection works on was sent. */
+  /** The time at which each connection sent its pending request. */
   readonly pending: Map<MemberConnection, number>;
+  /** Since when the directory has listed the member as leaving. */
   leavingSince: number | undefined;
   warmup: WarmupLimit;
 }
 
-/** The members of a group as one VM sees and uses them. */
+/** The members of a group: their pools and health as this VM observes them. */
 export class MemberTable {
   private readonly entries = new Map<string, MemberEntry>();
   private dataCentresOut: ReadonlySet<string> = new Set();
 
-  constructor(private readonly tools: MemberTableTools) {}
+  constructor(private readonly deps: MemberTableTools) {}
 
-  /** Takes over what the directory and the operators say. */
+  /** Applies the current settings and member list. */
   setView(view: GroupView, now: number): void {
     this.dataCentresOut = view.dataCentresOut;
     const listed = new Map(view.members.map(item => [item.member, item]));
     for (const [member, entry] of this.entries) {
       const current = listed.get(member);
       if (current?.address === entry.listed.address) continue;
-      // Gone, or started again elsewhere under the same name.
+      // Removed, or restarted at another address under the same name.
       entry.pool.drain();
       entry.state = 'gone';
       if (current || entry.pool.size === 0) this.entries.delete(member);
     }
-    for (const item of view.members) this.update(item, view, now);
+    for (const item of view.members) this.updateEntry(item, view, now);
   }
 
-  private update(listed: ListedMember, view: GroupView, now: number): void {
-    const limits = limitsOf(listed, view);
-    const entry = this.entries.get(listed.member) ?? this.add(listed, limits);
+  private updateEntry(
+    listed: ListedMember,
+    view: GroupView,
+    now: number,
+  ): void {
+    const limits = poolLimitsOf(listed, view);
+    const entry =
+      this.entries.get(listed.member) ?? this.addEntry(listed, limits);
     entry.listed = listed;
     entry.state = 'listed';
     entry.pool.setLimits(limits);
@@ -86,12 +93,15 @@
     if (!this.accepts(listed)) entry.pool.drain();
   }
 
-  private add(listed: ListedMember, limits: MemberPoolLimits): MemberEntry {
+  private addEntry(
+    listed: ListedMember,
+    limits: MemberPoolLimits,
+  ): MemberEntry {
     const entry: MemberEntry = {
       listed,
       state: 'listed',
       pool: new MemberPool(limits, workspace =>
-        this.tools.open(listed, workspace),
+        this.deps.open(listed, workspace),
       ),
       health: NEW_MEMBER_HEALTH,
       pending: new Map(),
@@ -102,52 +112,61 @@
     return entry;
   }
 
+  /** The members that the directory lists. */
   get all(): readonly ListedMember[] {
     return [...this.entries.values()]
       .filter(entry => entry.state === 'listed')
       .map(entry => entry.listed);
   }
 
+  /** The directory's entry for a member, if it is listed. */
   listed(member: string): ListedMember | undefined {
     const entry = this.entries.get(member);
     return entry?.state === 'listed' ? entry.listed : undefined;
   }
 
+  /** The pool of a member, also while its last connections are in use. */
   pool(member: string): MemberPool | undefined {
     return this.entries.get(member)?.pool;
   }
 
+  /** The health of a member; that of a new one if it is unknown. */
   health(member: string): MemberHealth {
     return this.entries.get(member)?.health ?? NEW_MEMBER_HEALTH;
   }
 
-  /** Whether a member gets new work. */
+  /** Whether a member may receive new work. */
   accepts({state, dataCentre}: ListedMember): boolean {
     return state === 'ready' && !this.dataCentresOut.has(dataCentre);
   }
 
+  /** Whether operators took the member's data centre out. */
   isOut({dataCentre}: ListedMember): boolean {
     return this.dataCentresOut.has(dataCentre);
   }
 
-  /** For how long the member has been known to leave. */
+  /** How long the directory has listed the member as leaving. */
   leavingMs(member: string, now: number): number {
     const since = this.entries.get(member)?.leavingSince;
     return since === undefined ? 0 : now - since;
   }
 
-  /** Takes one statement of what a member allows while it warms up. */
+  /**
+   * Admits one statement under the rate limit of a member that warms up.
+   * Returns true for members without a limit.
+   */
   admitWarmingUp(member: string, now: number): boolean {
     return this.entries.get(member)?.warmup.admit(now) ?? true;
   }
 
+  /** Whether a member is in one of the regions; an empty list allows all. */
   isInRegions({dataCentre}: ListedMember, regions: readonly string[]): boolean {
     return (
-      regions.length === 0 || regions.includes(this.tools.regionOf(dataCentre))
+      regions.length === 0 || regions.includes(this.deps.regionOf(dataCentre))
     );
   }
 
-  /** The members that may run a read, with what is known of their load. */
+  /** The members that may run a read, with their load. */
   loads(
     request: LeaseRequest,
     roleOf: (member: string) => MemberRole | 'unusable',
@@ -180,27 +199,31 @@
     return loads;
   }
 
+  /** Records that a connection sent a request. */
   sent(member: string, connection: MemberConnection, now: number): void {
     this.entries.get(member)?.pending.set(connection, now);
   }
 
-  /** Returns whether the member had failed before. */
+  /** Records a response; returns whether the member was failing before. */
   answered(
     member: string,
     connection: MemberConnection,
-    {askedAt, applied, work}: HeardAnswer,
+    {sentAt, applied, work}: HeardAnswer,
     at: number,
   ): boolean {
     this.entries.get(member)?.pending.delete(connection);
     const wasFailing = this.isFailing(member);
-    const tookMs = at - askedAt;
-    this.change(member, health =>
+    const tookMs = at - sentAt;
+    this.updateHealth(member, health =>
       afterAnswer(health, {tookMs, applied, work}, at),
     );
     return wasFailing;
   }
 
-  /** Returns what the fault means for the member. */
+  /**
+   * Records a fault; returns whether the member responded, failed for the first
+   * time or failed again. A rejected connection is a response.
+   */
   faulted(
     member: string,
     connection: MemberConnection,
@@ -215,37 +238,44 @@
     }
     const wasFailing = this.isFailing(member);
     this.failed(member, now);
-    // Other connections of the member may be as silent as this one.
+    // The member's other connections may be dead as well.
     if (fault.kind !== 'rejected') pool?.dropIdle();
     return wasFailing ? 'failed-again' : 'failed';
   }
 
+  /** Records a failure. */
   failed(member: string, now: number): void {
-    this.change(member, health => afterFailure(health, now));
+    this.updateHealth(member, health => afterFailure(health, now));
   }
 
-  /** The member answered a question about its state. */
+  /** Records the response to a status probe. */
   recovered(member: string, now: number): void {
-    const heard = {tookMs: 0, applied: undefined, work: 'setup'} as const;
-    this.change(member, health => afterAnswer(health, heard, now));
+    const statusAnswer = {
+      tookMs: 0,
+      applied: undefined,
+      work: 'setup',
+    } as const;
+    this.updateHealth(member, health => afterAnswer(health, statusAnswer, now));
   }
 
+  /** Records that a replica lacked a required position. */
   behind(member: string, applied: LogPosition | undefined, now: number): void {
-    this.change(member, health =>
+    this.updateHealth(member, health =>
       afterBehind(health, applied, BEHIND_AVOID_MS, now),
     );
   }
 
+  /** Whether the member is reachable, as observed by this VM. */
   sighting(member: string, now: number): PrimarySighting {
     return sightingOf(this.health(member), this.oldestPending(member), now);
   }
 
-  /** Since when the member has not answered. */
+  /** Since when the member has not responded, if it is failing. */
   failingSince(member: string): number | undefined {
     return this.health(member).failingSince ?? this.oldestPending(member);
   }
 
-  /** Members that failed and may be asked again. */
+  /** The failing members that are due for a status probe. */
   toProbe(now: number): readonly ListedMember[] {
     return this.all.filter(({member}) => {
       const {failingSince, avoidUntil} = this.health(member);
@@ -253,6 +283,7 @@
     });
   }
 
+  /** Maintains all pools and removes members that are no longer in use. */
   maintain(now: number): void {
     for (const [member, {pool, state}] of this.entries) {
       pool.maintain(now);
@@ -260,11 +291,12 @@
     }
   }
 
+  /** Closes all connections and refuses all queued requests. */
   abandonAll(): void {
     for (const {pool} of this.entries.values()) pool.abandon();
   }
 
-  /** Whether something may change without a further message. */
+  /** Whether periodic maintenance is required without further messages. */
   get isBusy(): boolean {
     return [...this.entries.values()].some(
       ({pool, health}) =>
@@ -277,7 +309,7 @@
   }
 
   private proximityOf(listed: ListedMember): MemberLoad['proximity'] {
-    const {vm, regionOf} = this.tools;
+    const {vm, regionOf} = this.deps;
     if (listed.dataCentre === vm.dataCentre) return 'same-data-centre';
     return regionOf(listed.dataCentre) === vm.region
       ? 'same-region'
@@ -292,7 +324,7 @@
     return oldest;
   }
 
-  private change(
+  private updateHealth(
     member: string,
     change: (health: MemberHealth) => MemberHealth,
   ): void {
@@ -301,13 +333,13 @@
   }
 }
 
-function limitsOf(
+function poolLimitsOf(
   {slots}: ListedMember,
   {settings, vmCount}: GroupView,
 ): MemberPoolLimits {
   const connections = Math.max(
     1,
-    settings.connectionLimit - CONTROL_CONNECTIONS,
+    settings.connectionLimit - RESERVED_CONTROL_CONNECTIONS,
   );
   return {
     connections,
@@ -317,12 +349,16 @@
 }
 
 /**
- * The connections that a VM keeps while they are idle. All VMs together leave
- * half of a member's connections free, as those of a VM that lost power stay
- * open at the member for seconds. Where a member has fewer connections than
- * there are VMs, none is kept, or the VMs would lock each other out.
+ * Returns the number of idle connections that a VM keeps open. All VMs together
+ * leave half of a member's connections free, as the connections of a VM that
+ * lost power stay open at the member for seconds. If a member has fewer
+ * connections than there are VMs, none is kept, as the VMs would otherwise lock
+ * each other out.
  */
 function idleShareOf(connections: number, vmCount: number): number {
   if (vmCount > connections) return 0;
-  return Math.max(1, Math.floor((connections * IDLE_SHARE) / vmCount));
+  return Math.max(
+    1,
+    Math.floor((connections * IDLE_CONNECTION_SHARE) / vmCount),
+  );
 }
--- a/packages/gateway/src/database/place_statement.ts
+++ b/packages/gateway/src/database/place_statement.ts
@@ -16,52 +16,53 @@
 import {leaseRefusal, refusalOf} from './lease_refusals.js';
 import type {MemberTable} from './member_table.js';
 
-/** The demanded age is lowered by this, as a statement waits before it runs. */
+/** Subtracted from the maximum age, as a statement waits before it runs. */
 const AGE_MARGIN_MS = 100;
 /**
- * A primary that leaves gets statements for this long after it was listed so;
- * its move should be over by then.
+ * A leaving primary receives statements for this long after it was first listed
+ * as leaving; the switchover should be complete by then.
  */
-const LEAVING_USE_MS = 4_000;
+const LEAVING_PRIMARY_USE_MS = 4_000;
 
-/** Where a statement is to run. */
+/** The member that runs a statement, without a connection to it. */
 export type Placement = Omit<Lease, 'connection'>;
 
-/** What is known when a statement is placed. */
+/** The state on which the placement of a statement depends. */
 export interface PlacementBasis {
   readonly members: MemberTable;
+  /** Log positions that the primary reported, and when. */
   readonly samples: PositionSamples;
   readonly right: PrimaryRight;
   readonly record: LeadershipRecord | undefined;
   readonly now: number;
 }
 
-type Placed = Result<Placement, LeaseRefusal>;
+type PlacementResult = Result<Placement, LeaseRefusal>;
 
-/** Chooses the member that runs a statement, or says why none may. */
+/** Chooses the member that runs a statement, or returns why none may. */
 export function placeStatement(
   request: LeaseRequest,
   basis: PlacementBasis,
-): Placed {
+): PlacementResult {
   const {need} = request;
   return need.kind === 'primary'
     ? placeAtPrimary(request, basis)
-    : placeRecent(request, need, basis);
+    : placeRecentRead(request, need, basis);
 }
 
 function placeAtPrimary(
   request: LeaseRequest,
   {members, right, now}: PlacementBasis,
-): Placed {
+): PlacementResult {
   if (right.kind === 'denied') return fail(refusalOf(right.reason));
   const {primary: member} = right;
   const listed = members.listed(member);
   if (!listed || request.avoid.includes(member)) {
     return fail(leaseRefusal('no-primary', 'the primary is not available'));
   }
-  const isLeaving = members.leavingMs(member, now) > LEAVING_USE_MS;
+  const isLeaving = members.leavingMs(member, now) > LEAVING_PRIMARY_USE_MS;
   if (members.isOut(listed) || isLeaving) {
-    return fail(leaseRefusal('primary-moving', 'the primary leaves'));
+    return fail(leaseRefusal('primary-changing', 'the primary leaves'));
   }
   if (!members.isInRegions(listed, request.regions)) {
     const detail = 'the primary is in another region';
@@ -71,16 +72,20 @@
     return fail(leaseRefusal('no-primary', 'the primary does not answer'));
   }
   if (!members.admitWarmingUp(member, now)) {
-    return fail(leaseRefusal('rate-of-cold-member', 'the primary warms up'));
+    return fail(leaseRefusal('member-warming-up', 'the primary warms up'));
   }
   return ok({member, role: 'primary', after: undefined});
 }
 
-function placeRecent(
+/**
+ * Prefers members with a free connection, and passes over members whose warm-up
+ * rate is used up.
+ */
+function placeRecentRead(
   request: LeaseRequest,
   need: Extract<LeaseRequest['need'], {kind: 'recent'}>,
   basis: PlacementBasis,
-): Placed {
+): PlacementResult {
   const {members, samples, right, now} = basis;
   const sample = requiredPosition(samples, need.maxAgeMs - AGE_MARGIN_MS, now);
   const after = sample && laterPosition(sample, need.seen);
@@ -100,7 +105,7 @@
   return ok({member, role, after: role === 'replica' ? after : undefined});
 }
 
-/** The role in which each member may be used now. */
+/** Returns the role in which each member may be used at present. */
 function rolesOf({
   right,
   record,
--- a/packages/gateway/src/database/primary_stops.ts
+++ b/packages/gateway/src/database/primary_stops.ts
@@ -3,16 +3,18 @@
 import type {StopMode} from './database_message.js';
 import type {MemberPool} from './member_pool.js';
 
-/** How long statements may finish before a planned change of primary. */
-const FINISH_MS = 600;
+/** How long running statements may finish before a switchover. */
+const FINISH_STATEMENTS_MS = 600;
 
 interface PendingStop {
+  /** The primary that is being replaced. */
   readonly from: string;
+  /** The time at which running statements are aborted. */
   readonly until: number;
   readonly reply: Reply<LogPosition | undefined>;
 }
 
-/** Requests to stop the use of a primary that are not answered yet. */
+/** The pending requests to stop using a primary. */
 export class PrimaryStops {
   private stops: PendingStop[] = [];
 
@@ -20,27 +22,31 @@
     return this.stops.length;
   }
 
+  /** Adds a request; in mode `finish`, running statements get time to end. */
   add(
     from: string,
     mode: StopMode,
     reply: Reply<LogPosition | undefined>,
     now: number,
   ): void {
-    const until = now + (mode === 'finish' ? FINISH_MS : 0);
+    const until = now + (mode === 'finish' ? FINISH_STATEMENTS_MS : 0);
     this.stops.push({from, until, reply});
   }
 
-  /** Answers the requests whose member runs nothing of this VM any more. */
+  /**
+   * Closes the connections to members that run nothing for this VM any more, or
+   * whose time to finish is over, and replies with the latest observed position.
+   */
   finish(
     poolOf: (member: string) => MemberPool | undefined,
-    lastSeen: LogPosition | undefined,
+    latestPosition: LogPosition | undefined,
     now: number,
   ): void {
     this.stops = this.stops.filter(({from, until, reply}) => {
       const pool = poolOf(from);
       if (pool && pool.inUse > 0 && now < until) return true;
       pool?.abandon();
-      reply.answer(lastSeen);
+      reply.answer(latestPosition);
       return false;
     });
   }
--- a/packages/gateway/src/session/admit_filter.ts
+++ b/packages/gateway/src/session/admit_filter.ts
@@ -8,7 +8,7 @@
 /** The part of the latency target that a statement may wait for a token. */
 const TOKEN_WAIT_SHARE = 0.25;
 /** The same while the VM has just started and has no tokens yet. */
-const TOKEN_WAIT_SHARE_AT_START = 0.8;
+const STARTUP_TOKEN_WAIT_SHARE = 0.8;
 
 /** Takes one token of the workspace's rate for each operation. */
 export class AdmitFilter extends Filter<
@@ -29,7 +29,7 @@
     if (statement.caller === 'anonymous') return ok(statement);
     const {workspace, route} = statement;
     const until = now + route.targetMs * TOKEN_WAIT_SHARE;
-    const untilAtStart = now + route.targetMs * TOKEN_WAIT_SHARE_AT_START;
+    const untilAtStart = now + route.targetMs * STARTUP_TOKEN_WAIT_SHARE;
     const admission = await ask<Admission>(reply =>
       this.quota.tell({kind: 'admit', workspace, until, untilAtStart, reply}),
     );
--- a/packages/gateway/src/session/conclude_fault.ts
+++ b/packages/gateway/src/session/conclude_fault.ts
@@ -23,11 +23,11 @@
         refusal: {kind: 'unknown-outcome', detail: fault.detail},
       };
     case 'report-error':
-      return {conclusion: 'final', refusal: reported(fault)};
+      return {conclusion: 'final', refusal: toReportedRefusal(fault)};
   }
 }
 
-function reported(fault: JobFault): SessionRefusal {
+function toReportedRefusal(fault: JobFault): SessionRefusal {
   const kinds: Partial<Record<AttemptFailure, SessionRefusal['kind']>> = {
     'timed-out': 'timed-out',
   };
--- a/packages/gateway/src/session/open_transaction.ts
+++ b/packages/gateway/src/session/open_transaction.ts
@@ -35,7 +35,7 @@
   constructor(
     /** The route's group and time limit as they were when it began. */
     readonly statementTimeoutMs: number,
-    private readonly lease: Lease,
+    private readonly checkout: Lease,
     private readonly database: DatabaseTask,
     private readonly clock: Clock,
   ) {}
@@ -47,7 +47,7 @@
     const {id, command, prepared, values, deadline, access} = statement;
     const result = await this.send({id, command, prepared, values, deadline});
     const validity = await ask<LeaseValidity>(reply =>
-      this.database.tell({kind: 'confirm', lease: this.lease, reply}),
+      this.database.tell({kind: 'confirm', lease: this.checkout, reply}),
     );
     if (result.ok && validity === 'valid') {
       if (access === 'commit') this.end();
@@ -70,19 +70,19 @@
       values,
       deadline: this.clock() + ROLLBACK_TIMEOUT_MS,
     });
-    if (!result.ok) this.lease.connection.tell({kind: 'close'});
-    this.database.tell({kind: 'release', lease: this.lease});
+    if (!result.ok) this.checkout.connection.tell({kind: 'close'});
+    this.database.tell({kind: 'return', lease: this.checkout});
   }
 
   private abandon(): void {
-    this.lease.connection.tell({kind: 'close'});
+    this.checkout.connection.tell({kind: 'close'});
     this.end();
   }
 
   private end(): void {
     if (this.state === 'ended') return;
     this.state = 'ended';
-    this.database.tell({kind: 'release', lease: this.lease});
+    this.database.tell({kind: 'return', lease: this.checkout});
   }
 
   private send(job: {
@@ -94,7 +94,7 @@
   }): Promise<JobResult> {
     const {id, command, prepared, values, deadline} = job;
     return ask(reply =>
-      this.lease.connection.tell({
+      this.checkout.connection.tell({
         kind: 'run',
         job: {values, prepared, request: {id, command}, deadline},
         reply,
--- a/packages/gateway/src/session/place_filter.ts
+++ b/packages/gateway/src/session/place_filter.ts
@@ -15,16 +15,16 @@
 /** Members that one statement is tried on. */
 const MAX_ATTEMPTS = 4;
 /** Attempts of one statement that a member without a free connection ends. */
-const MAX_FULL_ATTEMPTS = 10;
+const MAX_REJECTIONS = 10;
 /** A read is sent to a second member when the first takes this much longer. */
 const HEDGE_MIN_MS = 70;
 const HEDGE_TARGET_SHARE = 0.45;
 /** The wait for a connection, in parts of the latency target. */
-const LEASE_WAIT_SHARE = 0.9;
+const CHECKOUT_WAIT_SHARE = 0.9;
 /** How long a statement waits for a new primary. */
-const MOVE_WAIT_MS = 600;
+const PRIMARY_CHANGE_WAIT_MS = 600;
 /** What remains of the statement's time when a wait for a primary ends. */
-const RUN_RESERVE_MS = 100;
+const EXECUTION_RESERVE_MS = 100;
 
 /** A member's answer, with the lease that a transaction keeps. */
 export interface PlacedAnswer {
@@ -39,14 +39,14 @@
 }
 
 /** An attempt that did not lead to a result. */
-interface FailedPlacement {
+interface FailedAttempt {
   readonly conclusion: 'retry' | 'final';
   readonly refusal: SessionRefusal;
   readonly member?: string | undefined;
   readonly cause?: 'member-full' | 'other';
 }
 
-type Placement = Result<PlacedAnswer, FailedPlacement>;
+type AttemptResult = Result<PlacedAnswer, FailedAttempt>;
 
 /**
  * Runs a statement, or the first statement of a transaction, on a member. It
@@ -59,7 +59,7 @@
 > {
   override readonly name = 'place';
 
-  constructor(private readonly tools: PlaceTools) {
+  constructor(private readonly deps: PlaceTools) {
     super();
   }
 
@@ -67,20 +67,24 @@
     statement: RoutedStatement,
   ): Promise<Result<PlacedAnswer, SessionRefusal>> {
     const avoid: string[] = [];
-    let last: FailedPlacement | undefined;
-    let full = 0;
-    for (let attempt = 1; attempt - full <= MAX_ATTEMPTS; attempt++) {
+    let failure: FailedAttempt | undefined;
+    let rejections = 0;
+    for (let attempt = 1; attempt - rejections <= MAX_ATTEMPTS; attempt++) {
       const placed = await this.attempt(statement, avoid);
       if (placed.ok) return placed;
-      last = placed.err;
-      this.logFailure(statement, last, attempt);
-      if (last.conclusion === 'final' || last.member === undefined) break;
-      if (this.tools.clock() >= statement.deadline - RUN_RESERVE_MS) break;
-      if (last.cause !== 'member-full') avoid.push(last.member);
-      else if (++full > MAX_FULL_ATTEMPTS) break;
+      failure = placed.err;
+      this.logFailure(statement, failure, attempt);
+      if (failure.conclusion === 'final' || failure.member === undefined) break;
+      if (this.deps.clock() >= statement.deadline - EXECUTION_RESERVE_MS) break;
+      if (failure.cause !== 'member-full') avoid.push(failure.member);
+      else if (++rejections > MAX_REJECTIONS) break;
     }
     return fail(
-      last?.refusal ?? {kind: 'busy', detail: 'no attempt', retryAfterMs: 50},
+      failure?.refusal ?? {
+        kind: 'busy',
+        detail: 'no attempt',
+        retryAfterMs: 50,
+      },
     );
   }
 
@@ -88,7 +92,7 @@
   private async attempt(
     statement: RoutedStatement,
     avoid: readonly string[],
-  ): Promise<Placement> {
+  ): Promise<AttemptResult> {
     const first = this.runOnce(statement, avoid);
     if (statement.access !== 'read' || statement.begin !== undefined) {
       return first.done;
@@ -106,52 +110,53 @@
   private runOnce(
     statement: RoutedStatement,
     avoid: readonly string[],
-  ): {done: Promise<Placement>; member: () => string | undefined} {
+  ): {done: Promise<AttemptResult>; member: () => string | undefined} {
     let member: string | undefined;
-    const run = async (): Promise<Placement> => {
-      const database = this.tools.database(statement.route.group);
+    const run = async (): Promise<AttemptResult> => {
+      const database = this.deps.database(statement.route.group);
       if (!database) {
         return fail({
           conclusion: 'final',
           refusal: busy('the group is not known', 100),
         });
       }
-      const leased = await this.lease(database, statement, avoid);
-      if (!leased.ok) {
+      const checkedOut = await this.checkOut(database, statement, avoid);
+      if (!checkedOut.ok) {
         return fail({
           conclusion: 'final',
-          refusal: busy(leased.err.detail, leased.err.retryAfterMs),
+          refusal: busy(checkedOut.err.detail, checkedOut.err.retryAfterMs),
         });
       }
-      member = leased.value.member;
-      return this.execute(database, leased.value, statement);
+      member = checkedOut.value.member;
+      return this.execute(database, checkedOut.value, statement);
     };
     return {done: run(), member: () => member};
   }
 
-  private lease(
+  private checkOut(
     database: DatabaseTask,
     statement: RoutedStatement,
     avoid: readonly string[],
   ): Promise<Result<Lease, LeaseRefusal>> {
     const {route, workspace, values, regions, deadline} = statement;
-    const need = needOf(statement);
-    const now = this.tools.clock();
+    const requirement = requirementOf(statement);
+    const now = this.deps.clock();
     const waitMs = Math.max(
-      route.targetMs * LEASE_WAIT_SHARE,
-      need.kind === 'primary' ? MOVE_WAIT_MS : 0,
+      route.targetMs * CHECKOUT_WAIT_SHARE,
+      requirement.kind === 'primary' ? PRIMARY_CHANGE_WAIT_MS : 0,
     );
-    const until = Math.min(now + waitMs, deadline - RUN_RESERVE_MS);
+    const until = Math.min(now + waitMs, deadline - EXECUTION_RESERVE_MS);
     return ask(reply =>
       database.tell({
-        kind: 'lease',
+        kind: 'check-out',
         request: {
           workspace,
           values,
           use: statement.begin === undefined ? 'statement' : 'transaction',
-          need,
+          need: requirement,
           // The only primary is tried again after it refused.
-          avoid: need.kind === 'primary' && avoid.length <= 1 ? [] : avoid,
+          avoid:
+            requirement.kind === 'primary' && avoid.length <= 1 ? [] : avoid,
           regions,
           until,
         },
@@ -164,7 +169,7 @@
     database: DatabaseTask,
     lease: Lease,
     statement: RoutedStatement,
-  ): Promise<Placement> {
+  ): Promise<AttemptResult> {
     const {id, command, prepared, begin, values, deadline} = statement;
     const result = await ask<JobResult>(reply =>
       lease.connection.tell({
@@ -183,8 +188,8 @@
     const validity = await ask<LeaseValidity>(reply =>
       database.tell({kind: 'confirm', lease, reply}),
     );
-    const keep = begin !== undefined && result.ok;
-    if (!keep || validity === 'expired') this.release(database, lease, begin);
+    const pin = begin !== undefined && result.ok;
+    if (!pin || validity === 'expired') this.checkIn(database, lease, begin);
     if (!result.ok) return this.failed(database, lease, statement, result.err);
     if (validity === 'expired') {
       const detail = 'the member may have been replaced meanwhile';
@@ -196,13 +201,13 @@
     return ok({answer: result.value.answer, lease});
   }
 
-  private release(
+  private checkIn(
     database: DatabaseTask,
     lease: Lease,
     begin: RoutedStatement['begin'],
   ): void {
     if (begin !== undefined) lease.connection.tell({kind: 'close'});
-    database.tell({kind: 'release', lease});
+    database.tell({kind: 'return', lease});
   }
 
   private failed(
@@ -210,7 +215,7 @@
     lease: Lease,
     statement: RoutedStatement,
     fault: JobFault,
-  ): Placement {
+  ): AttemptResult {
     const {member} = lease;
     if (fault.failure === 'behind') {
       database.tell({kind: 'behind', member, applied: fault.applied});
@@ -230,10 +235,10 @@
 
   private logFailure(
     statement: RoutedStatement,
-    {conclusion, refusal, member}: FailedPlacement,
+    {conclusion, refusal, member}: FailedAttempt,
     attempt: number,
   ): void {
-    this.tools.log.info(
+    this.deps.log.info(
       {
         event: 'statement.attempt-failed',
         request: statement.id,
@@ -242,7 +247,7 @@
         attempt,
         conclusion,
         refusal,
-        elapsedMs: Math.round(this.tools.clock() - statement.receivedAt),
+        elapsedMs: Math.round(this.deps.clock() - statement.receivedAt),
       },
       'attempt failed',
     );
@@ -255,7 +260,12 @@
   return begin === undefined ? 'write' : 'write-in-transaction';
 }
 
-function needOf({route, access, begin, seen}: RoutedStatement): LeaseNeed {
+function requirementOf({
+  route,
+  access,
+  begin,
+  seen,
+}: RoutedStatement): LeaseNeed {
   const isRead = begin === undefined ? access === 'read' : begin === 'read';
   if (!isRead || route.consistency === 'strict') return {kind: 'primary'};
   return {
@@ -267,9 +277,9 @@
 
 /** The first placement that succeeds, or else the last that fails. */
 async function firstSuccess(
-  a: Promise<Placement>,
-  b: Promise<Placement>,
-): Promise<Placement> {
+  a: Promise<AttemptResult>,
+  b: Promise<AttemptResult>,
+): Promise<AttemptResult> {
   const first = await Promise.race([a, b]);
   if (first.ok) return first;
   const [one, two] = await Promise.all([a, b]);
--- a/packages/gateway/src/session/route_filter.ts
+++ b/packages/gateway/src/session/route_filter.ts
@@ -5,7 +5,7 @@
 import type {ReceivedStatement, RoutedStatement} from './session_statement.js';
 
 /** How soon a VM without a configuration may be tried again. */
-const RETRY_STARTING_MS = 500;
+const STARTUP_RETRY_AFTER_MS = 500;
 
 /** Who a key stands for, under the present configuration. */
 export function findCaller(
@@ -18,7 +18,7 @@
 > {
   if (!configuration) {
     const detail = 'this VM has no configuration yet';
-    return fail({kind: 'busy', detail, retryAfterMs: RETRY_STARTING_MS});
+    return fail({kind: 'busy', detail, retryAfterMs: STARTUP_RETRY_AFTER_MS});
   }
   const route = configuration.routes.get(database);
   if (!route) return fail({kind: 'unknown-database', detail: database});
--- a/packages/gateway/src/session/session_task.ts
+++ b/packages/gateway/src/session/session_task.ts
@@ -25,7 +25,7 @@
   | {readonly kind: 'open'; readonly transaction: OpenTransaction}
   | {readonly kind: 'failed'};
 
-const LOCAL: SessionReply = {kind: 'local'};
+const LOCAL_REPLY: SessionReply = {kind: 'local'};
 
 /** Owns one caller's session: its values, statements and transaction. */
 export class SessionTask extends Task<SessionMessage> {
@@ -40,7 +40,7 @@
 
   constructor(
     private readonly link: CallerLink,
-    private readonly tools: SessionTools,
+    private readonly deps: SessionTools,
     private readonly onEnded: () => void,
   ) {
     super();
@@ -53,7 +53,7 @@
         await this.event(message.event, message.receivedAt);
         return;
       case 'reconfigured':
-        await this.reconfigured();
+        await this.handleReconfiguration();
         return;
       case 'drain':
         this.phase = 'draining';
@@ -67,7 +67,7 @@
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.log.error({event: 'session.failed', err}, 'session failed');
+    this.deps.log.error({event: 'session.failed', err}, 'session failed');
     this.link.close();
     this.end();
   }
@@ -86,7 +86,7 @@
       case 'statement':
         clearTimeout(this.idleTimer);
         await this.statement(event.id, event.statement, receivedAt);
-        this.watchTransaction();
+        this.startTransactionTimeout();
         if (this.phase === 'draining') this.closeIfIdle();
         return;
       case 'malformed':
@@ -104,10 +104,10 @@
   }
 
   private open(database: string, key: string): void {
-    const found = findCaller(this.tools.configuration(), database, key);
+    const found = findCaller(this.deps.configuration(), database, key);
     if (!found.ok) {
-      this.tools.metrics.refused(found.err.kind);
-      this.tools.log.info(
+      this.deps.metrics.refused(found.err.kind);
+      this.deps.log.info(
         {event: 'session.refused', database, refusal: found.err},
         'session refused',
       );
@@ -127,17 +127,17 @@
     receivedAt: number,
   ): Promise<void> {
     if (this.transaction.kind === 'failed') {
-      this.statementAfterFailure(id, statement);
+      this.handleStatementAfterFailure(id, statement);
       return;
     }
     switch (statement.kind) {
       case 'set':
         this.values.set(statement.name, statement.value);
-        this.reply(LOCAL);
+        this.reply(LOCAL_REPLY);
         return;
       case 'prepare':
         this.prepared.set(statement.name, statement.statement);
-        this.reply(LOCAL);
+        this.reply(LOCAL_REPLY);
         return;
       case 'deallocate':
         this.deallocate(id, statement.name);
@@ -164,10 +164,13 @@
   }
 
   /** Ends a failed transaction; all other statements are refused until then. */
-  private statementAfterFailure(id: string, statement: CallerStatement): void {
+  private handleStatementAfterFailure(
+    id: string,
+    statement: CallerStatement,
+  ): void {
     if (statement.kind === 'rollback') {
       this.transaction = {kind: 'none'};
-      this.reply(LOCAL);
+      this.reply(LOCAL_REPLY);
       return;
     }
     if (statement.kind === 'commit') {
@@ -185,7 +188,7 @@
       this.refuse(id, {kind: 'unknown-statement', detail: name});
       return;
     }
-    this.reply(LOCAL);
+    this.reply(LOCAL_REPLY);
   }
 
   private begin(id: string, access: StatementAccess): void {
@@ -195,13 +198,13 @@
       return;
     }
     this.transaction = {kind: 'begun', access};
-    this.reply(LOCAL);
+    this.reply(LOCAL_REPLY);
   }
 
   private async rollback(): Promise<void> {
     const {transaction} = this;
     this.transaction = {kind: 'none'};
-    this.reply(LOCAL);
+    this.reply(LOCAL_REPLY);
     if (transaction.kind !== 'open') return;
     await transaction.transaction.rollback(this.values);
   }
@@ -252,10 +255,10 @@
     const answer = result.value;
     const isCommit = access === 'commit';
     if (isCommit) this.transaction = {kind: 'none'};
-    const changed =
+    const hasCommitted =
       isCommit || (access === 'write' && transaction.kind === 'none');
-    if (changed && answer.applied) this.seen = answer.applied;
-    this.tools.metrics.answered(access, this.tools.clock() - receivedAt);
+    if (hasCommitted && answer.applied) this.seen = answer.applied;
+    this.deps.metrics.answered(access, this.deps.clock() - receivedAt);
     this.reply({kind: 'member', answer}, answer.applied);
   }
 
@@ -269,7 +272,7 @@
   ): Promise<Result<MemberAnswer, SessionRefusal>> {
     const {transaction} = this;
     const begin = transaction.kind === 'begun' ? transaction.access : undefined;
-    const admitted = await this.tools.admit.run({
+    const admitted = await this.deps.admit.run({
       id,
       database: this.database,
       key: this.key,
@@ -280,27 +283,27 @@
       begin,
       values: new Map(this.values),
       seen: this.seen,
-      configuration: this.tools.configuration(),
+      configuration: this.deps.configuration(),
     });
     if (!admitted.ok) return admitted;
-    const placed = await this.tools.place.run(admitted.value);
+    const placed = await this.deps.place.run(admitted.value);
     if (!placed.ok) {
       const {workspace, caller} = admitted.value;
       if (placed.err.kind === 'busy' && caller === 'keyed') {
-        this.tools.refund(workspace);
+        this.deps.refund(workspace);
       }
       return placed;
     }
     const {lease, answer} = placed.value;
     const {group, statementTimeoutMs} = admitted.value.route;
-    const database = this.tools.database(group);
+    const database = this.deps.database(group);
     if (begin === undefined) return ok(answer);
     if (!database) {
       lease.connection.tell({kind: 'close'});
       return fail({kind: 'aborted', detail: 'the group is no longer served'});
     }
     if (access === 'commit') {
-      database.tell({kind: 'release', lease});
+      database.tell({kind: 'return', lease});
       return ok(answer);
     }
     this.transaction = {
@@ -309,7 +312,7 @@
         statementTimeoutMs,
         lease,
         database,
-        this.tools.clock,
+        this.deps.clock,
       ),
     };
     return ok(answer);
@@ -323,13 +326,13 @@
   }
 
   private refuse(id: string, refusal: SessionRefusal): void {
-    this.tools.metrics.refused(refusal.kind);
-    this.tools.log.info(
+    this.deps.metrics.refused(refusal.kind);
+    this.deps.log.info(
       {
         event: 'statement.refused',
         request: id,
         database: this.database,
-        configuration: this.tools.configuration()?.version,
+        configuration: this.deps.configuration()?.version,
         refusal,
       },
       'statement refused',
@@ -338,9 +341,9 @@
   }
 
   /** Ends what a withdrawn key or a removed route no longer allows. */
-  private async reconfigured(): Promise<void> {
+  private async handleReconfiguration(): Promise<void> {
     if (this.phase === 'new') return;
-    const configuration = this.tools.configuration();
+    const configuration = this.deps.configuration();
     const found = findCaller(configuration, this.database, this.key);
     if (found.ok) return;
     await this.failTransaction();
@@ -358,10 +361,10 @@
   }
 
   /** A transaction that its caller leaves idle holds a scarce connection. */
-  private watchTransaction(): void {
+  private startTransactionTimeout(): void {
     clearTimeout(this.idleTimer);
     if (this.transaction.kind !== 'open' || this.phase === 'closed') return;
-    const idleMs = this.tools.configuration()?.transactionIdleMs ?? 0;
+    const idleMs = this.deps.configuration()?.transactionIdleMs ?? 0;
     if (idleMs <= 0) return;
     this.idleTimer = setTimeout(
       () => this.tell({kind: 'transaction-idle'}),
--- a/packages/gateway/src/testing/fake_group.ts
+++ b/packages/gateway/src/testing/fake_group.ts
@@ -45,7 +45,7 @@
       regionOf: () => 'ga',
       links: this.links,
       clock: () => performance.now(),
-      right: leadership => this.right ?? rightOf(leadership),
+      right: leadership => this.right ?? primaryLeaseOf(leadership),
       onSuspect: (unusedGroup, primary) => this.suspects.push(primary),
       log: silentLogger(),
       onFailed: err => {
@@ -92,7 +92,9 @@
   }
 }
 
-function rightOf(leadership: VersionedLeadership | undefined): PrimaryRight {
+function primaryLeaseOf(
+  leadership: VersionedLeadership | undefined,
+): PrimaryRight {
   if (!leadership) return {kind: 'denied', reason: 'no-record'};
   const {record} = leadership;
   return record.phase === 'settled'
--- a/packages/gateway/src/testing/fake_store.ts
+++ b/packages/gateway/src/testing/fake_store.ts
@@ -20,7 +20,7 @@
   newsAnswered = 0;
   mood: StoreMood = 'answers';
   private readonly history: Array<{key: string; version: number}> = [];
-  private waiters: Array<() => void> = [];
+  private pendingPolls: Array<() => void> = [];
 
   constructor(private readonly clock: () => number) {
     super();
@@ -31,7 +31,7 @@
     const row = {key, value: JSON.stringify(value), version: this.version};
     this.rows.set(key, row);
     this.history.push({key, version: this.version});
-    for (const wake of this.waiters.splice(0)) wake();
+    for (const wake of this.pendingPolls.splice(0)) wake();
   }
 
   override async readAll(): Promise<Result<TableAnswer, StoreReadError>> {
@@ -47,7 +47,7 @@
     if (this.version <= after) {
       await new Promise<void>(resolve => {
         const timer = setTimeout(resolve, Math.min(waitMs, 50));
-        this.waiters.push(() => {
+        this.pendingPolls.push(() => {
           clearTimeout(timer);
           resolve();
         });
@@ -77,7 +77,7 @@
       this.history.push({key, version: ++this.version});
     }
     for (const [key, value] of puts) this.put(key, JSON.parse(value));
-    for (const wake of this.waiters.splice(0)) wake();
+    for (const wake of this.pendingPolls.splice(0)) wake();
     if (this.mood === 'loses-answers') {
       return fail({kind: 'unknown-outcome', detail: 'lost'});
     }
