--- a/packages/gateway/src/database/database_message.ts
+++ b/packages/gateway/src/database/database_message.ts
@@ -54,11 +54,11 @@
       readonly reply: Reply<Result<Lease, LeaseRefusal>>;
     }
   /** Returns a checked-out connection to its pool. */
-  | {readonly kind: 'return'; readonly lease: Lease}
+  | {readonly kind: 'return'; readonly checkout: Lease}
   /** Checks whether a result of a checkout's member may be passed on. */
   | {
       readonly kind: 'confirm';
-      readonly lease: Lease;
+      readonly checkout: Lease;
       readonly reply: Reply<LeaseValidity>;
     }
   /** A replica refused a statement because it lacked the required position. */
--- a/packages/gateway/src/database/database_task.ts
+++ b/packages/gateway/src/database/database_task.ts
@@ -78,13 +78,13 @@
         this.checkOut(message, now);
         return;
       case 'return': {
-        const {member, connection} = message.lease;
+        const {member, connection} = message.checkout;
         this.members.pool(member)?.release(connection, now);
         this.finishStops(now);
         return;
       }
       case 'confirm':
-        message.reply.answer(this.validityOf(message.lease));
+        message.reply.answer(this.validityOf(message.checkout));
         return;
       case 'behind':
         this.members.behind(message.member, message.applied, now);
--- a/packages/gateway/src/database/lease.ts
+++ b/packages/gateway/src/database/lease.ts
@@ -20,7 +20,7 @@
   /** The session's values, to prefer a connection that has them set. */
   readonly values: SessionValues;
   readonly use: 'statement' | 'transaction';
-  readonly need: LeaseNeed;
+  readonly requirement: LeaseNeed;
   /** Members on which earlier attempts of this statement failed. */
   readonly avoid: readonly string[];
   /** Regions whose members may run the statement; empty for all regions. */
--- a/packages/gateway/src/database/place_statement.ts
+++ b/packages/gateway/src/database/place_statement.ts
@@ -44,10 +44,10 @@
   request: LeaseRequest,
   basis: PlacementBasis,
 ): PlacementResult {
-  const {need} = request;
-  return need.kind === 'primary'
+  const {requirement} = request;
+  return requirement.kind === 'primary'
     ? placeAtPrimary(request, basis)
-    : placeRecentRead(request, need, basis);
+    : placeRecentRead(request, requirement, basis);
 }
 
 function placeAtPrimary(
@@ -83,12 +83,16 @@
  */
 function placeRecentRead(
   request: LeaseRequest,
-  need: Extract<LeaseRequest['need'], {kind: 'recent'}>,
+  requirement: Extract<LeaseRequest['requirement'], {kind: 'recent'}>,
   basis: PlacementBasis,
 ): PlacementResult {
   const {members, samples, right, now} = basis;
-  const sample = requiredPosition(samples, need.maxAgeMs - AGE_MARGIN_MS, now);
-  const after = sample && laterPosition(sample, need.seen);
+  const sample = requiredPosition(
+    samples,
+    requirement.maxAgeMs - AGE_MARGIN_MS,
+    now,
+  );
+  const after = sample && laterPosition(sample, requirement.seen);
   const loads = members.loads(request, rolesOf(basis), now);
   const ranked = rankForRead(loads, after, now);
   const isFree = (member: string): boolean =>
--- a/packages/gateway/src/ports/caller_link.ts
+++ b/packages/gateway/src/ports/caller_link.ts
@@ -5,7 +5,7 @@
 } from '@pistachiorill/core';
 import type {MemberAnswer, TransactionState} from './member_link.js';
 
-/** A caller's statement. */
+/** A statement that a caller sends, as decoded from the wire. */
 export type CallerStatement =
   | {readonly kind: 'begin'; readonly access: StatementAccess}
   | {readonly kind: 'commit'}
@@ -13,7 +13,7 @@
   | {
       readonly kind: 'statement';
       readonly access: StatementAccess;
-      /** The text as it goes to a member. */
+      /** The text, which is forwarded to a member unchanged. */
       readonly text: string;
     }
   | {
@@ -29,7 +29,7 @@
     }
   | {readonly kind: 'deallocate'; readonly name: string};
 
-/** What a caller sends on its connection. */
+/** An event on a caller's connection. */
 export type CallerEvent =
   | {readonly kind: 'open'; readonly database: string; readonly key: string}
   | {
@@ -37,25 +37,28 @@
       readonly id: string;
       readonly statement: CallerStatement;
     }
+  /** A message that could not be decoded. */
   | {
       readonly kind: 'malformed';
       readonly id: string;
       readonly detail: string;
     }
-  /** A message that is too large to be read, after which nothing can be. */
+  /** A message over the size limit, after which the stream is unreadable. */
   | {readonly kind: 'too-large'}
+  /** The caller closed the connection, or it broke. */
   | {readonly kind: 'ended'};
 
 /** Why a statement has no result. */
 export type SessionRefusalKind =
-  /** Not run; the caller may come back after `retryAfterMs`. */
+  /** Not run; the caller may retry after `retryAfterMs`. */
   | 'busy'
-  /** The workspace spent its rate; not run. */
+  /** Not run, as the workspace's rate limit is used up. */
   | 'rate-limited'
   /** The transaction was rolled back. */
   | 'aborted'
+  /** The statement may or may not have taken effect. */
   | 'unknown-outcome'
-  /** The member ran it and failed; nothing is promised. */
+  /** The member ran it and failed; its effect is not guaranteed either way. */
   | 'failed'
   | 'timed-out'
   | 'bad-key'
@@ -64,43 +67,50 @@
   | 'malformed'
   | 'too-large';
 
+/** Why a statement or session was refused. */
 export interface SessionRefusal {
   readonly kind: SessionRefusalKind;
   readonly detail: string;
   readonly retryAfterMs?: number | undefined;
 }
 
-/** The answer to one statement. */
+/** The reply to one statement. */
 export type SessionReply =
+  /** The session handled the statement without a member. */
   | {readonly kind: 'local'}
   | {readonly kind: 'member'; readonly answer: MemberAnswer}
   | {readonly kind: 'refused'; readonly refusal: SessionRefusal};
 
-/** One caller's connection; it encodes what the session decides. */
+/** One caller's connection. Encodes replies; the session decides on them. */
 export abstract class CallerLink {
   abstract get isOpen(): boolean;
-  /** Answers the request to open a session. */
+  /** Confirms that the session is open. */
   abstract accept(): void;
   /** Refuses the session and closes the connection. */
   abstract reject(refusal: SessionRefusal): void;
+  /**
+   * Replies to a statement. `position` is the log position that the member
+   * reported, if it ran there.
+   */
   abstract reply(
     reply: SessionReply,
     transaction: TransactionState,
     position: LogPosition | undefined,
   ): void;
-  /** Closes after what was written is delivered. */
+  /** Closes the connection after pending replies are delivered. */
   abstract close(): void;
 }
 
-/** Where a caller's link delivers what it reads. */
+/** Receives the events of a caller's connection. */
 export type CallerEventSink = (event: CallerEvent) => void;
 
 /** Accepts callers' connections. */
 export abstract class CallerServer {
+  /** Listens on an address; `onCaller` handles each new connection. */
   abstract listen(
     address: string,
     onCaller: (link: CallerLink) => CallerEventSink,
   ): Promise<void>;
-  /** Takes no new connections. */
+  /** Stops accepting connections. */
   abstract close(): void;
 }
--- a/packages/gateway/src/ports/configuration_source.ts
+++ b/packages/gateway/src/ports/configuration_source.ts
@@ -1,24 +1,24 @@
 import type {Result, ServedConfiguration} from '@pistachiorill/core';
 import type {StoreReadError} from '@pistachiorill/store';
 
-/** What the operators demand at present. */
+/** The configuration and other operator decisions that are in force. */
 export interface OperatorState {
   /** Undefined before the first configuration. */
   readonly configuration: ServedConfiguration | undefined;
-  /** Data centres to whose members nothing is sent. */
+  /** Data centres whose members receive no statements. */
   readonly dataCentresOut: ReadonlySet<string>;
-  /** The encoded form, for VMs that cannot read the store. */
+  /** The encoded form, which is passed to VMs that cannot read the store. */
   readonly encoded: string;
-  /** Grows with each change. */
+  /** Increases with each change. */
   readonly revision: number;
 }
 
-/** Reads what operators put in force. */
+/** Reads the operator state from the store. */
 export abstract class ConfigurationSource {
-  /** Reads the present state. */
+  /** Reads the current state. */
   abstract read(): Promise<Result<OperatorState, StoreReadError>>;
-  /** Waits up to `waitMs` for a state other than the last one. */
+  /** Waits up to `waitMs` for a state that differs from the last one read. */
   abstract next(waitMs: number): Promise<Result<OperatorState, StoreReadError>>;
-  /** Reads the form that another VM passed on; undefined if unreadable. */
+  /** Decodes a state from another VM; returns undefined if that fails. */
   abstract decode(encoded: string): OperatorState | undefined;
 }
--- a/packages/gateway/src/ports/member_directory.ts
+++ b/packages/gateway/src/ports/member_directory.ts
@@ -1,7 +1,7 @@
 import type {MemberRole, Result} from '@pistachiorill/core';
 import type {StoreReadError} from '@pistachiorill/store';
 
-/** A member as it registered itself. */
+/** The directory's entry for a member, as the member registered it. */
 export interface ListedMember {
   readonly member: string;
   readonly group: string;
@@ -9,12 +9,13 @@
   readonly dataCentre: string;
   readonly state: 'ready' | 'leaving';
   readonly role: MemberRole;
+  /** The number of statements that the member runs concurrently. */
   readonly slots: number;
-  /** How long it still warms up. */
+  /** How long the member still warms up; 0 if it doesn't. */
   readonly remainingWarmupMs: number;
 }
 
-/** Lists the members that registered themselves. */
+/** Lists the members that are registered in the directory. */
 export abstract class MemberDirectory {
   abstract list(): Promise<Result<readonly ListedMember[], StoreReadError>>;
 }
--- a/packages/gateway/src/ports/member_link.ts
+++ b/packages/gateway/src/ports/member_link.ts
@@ -5,14 +5,14 @@
   Result,
 } from '@pistachiorill/core';
 
-/** A member of a group, as the directory lists it. */
+/** The member to connect to, as the directory lists it. */
 export interface MemberTarget {
   readonly member: string;
   readonly address: string;
   readonly group: string;
 }
 
-/** What a VM sends to a member. */
+/** A command that a VM sends to a member. */
 export type MemberCommand =
   | {readonly kind: 'begin'; readonly access: 'read' | 'write'}
   | {readonly kind: 'commit'}
@@ -21,7 +21,7 @@
   | {readonly kind: 'statement'; readonly text: string}
   | {
       readonly kind: 'execute';
-      /** The name that the statement has on the connection. */
+      /** The name of the prepared statement on this connection. */
       readonly name: string;
       readonly parameters: string;
     }
@@ -31,20 +31,22 @@
       readonly name: string;
       readonly statement: PreparedStatement;
     }
+  /** Clears the session values and prepared statements. */
   | {readonly kind: 'reset'}
   | {readonly kind: 'status'}
-  /** Ends the lead of a member whose term is lower. */
+  /** Demotes a member that leads in a lower term. */
   | {readonly kind: 'step-down'; readonly term: number};
 
+/** A command with its request id and the required log position. */
 export interface MemberRequest {
-  /** The caller's id of the statement; absent for the VM's own. */
+  /** The caller's id of the statement; absent for commands of the VM. */
   readonly id?: string | undefined;
   readonly command: MemberCommand;
   /** The log position that the member must have applied. */
   readonly after?: LogPosition | undefined;
 }
 
-/** The errors of a member that lead to different decisions. */
+/** The errors of a member, by the way in which they are handled. */
 export type MemberErrorKind =
   | 'busy'
   | 'behind'
@@ -57,62 +59,69 @@
   | 'malformed'
   | 'other';
 
-/** A member's error, as it is passed on to a caller. */
+/** An error that a member sent. */
 export interface MemberError {
   readonly kind: MemberErrorKind;
-  /** The member's own code and text. */
+  /** The code and text as the member sent them. */
   readonly code: string;
   readonly text: string;
 }
 
+/** The state of the transaction on a connection. */
 export type TransactionState = 'none' | 'open' | 'failed';
 
-/** A whole answer of a member. */
+/** The complete response of a member to one request. */
 export interface MemberAnswer {
   readonly rows: readonly string[];
   readonly outcome:
     | {readonly kind: 'done'; readonly signature: string}
     | {readonly kind: 'error'; readonly error: MemberError};
   readonly transaction: TransactionState;
-  /** The end of the member's log as reads see it. */
+  /** The log position up to which reads see data. */
   readonly applied: LogPosition | undefined;
 }
 
-/** Why there is no whole answer. */
+/** Why a request got no complete response. */
 export type LinkFault =
   /** Nothing of the request was sent. */
   | {readonly kind: 'not-sent'; readonly detail: string}
   /** The member refused the connection before any request. */
   | {readonly kind: 'rejected'; readonly error: MemberError}
+  /** The connection broke before the response was complete. */
   | {readonly kind: 'broken'; readonly detail: string}
+  /** No complete response arrived within the time limit. */
   | {readonly kind: 'silent'; readonly afterMs: number};
 
-/** What a member says of itself. */
+/** The role and log positions that a member reports. */
 export interface MemberStatus {
   readonly role: MemberRole;
   readonly term: number;
-  /** The end of the log that it received. */
+  /** The log position up to which the member received entries. */
   readonly received: LogPosition;
-  /** The end of the log as reads see it. */
+  /** The log position up to which reads see data. */
   readonly applied: LogPosition;
 }
 
-/** One connection to a member. It runs one request at a time. */
+/** One connection to a member, which runs one request at a time. */
 export abstract class MemberLink {
+  /** Whether the connection can run requests. */
   abstract get isUsable(): boolean;
   abstract open(timeoutMs: number): Promise<Result<void, LinkFault>>;
   abstract run(
     request: MemberRequest,
     timeoutMs: number,
   ): Promise<Result<MemberAnswer, LinkFault>>;
-  /** Ends the connection; the member rolls an open transaction back. */
+  /** Closes the connection; the member rolls back an open transaction. */
   abstract close(): void;
-  /** Reads the answer to `status` and to `step-down`. */
+  /** Parses the response to `status` or `step-down`; undefined on failure. */
   abstract statusOf(answer: MemberAnswer): MemberStatus | undefined;
 }
 
-/** Opens connections to members. */
+/** Creates connections to members. */
 export abstract class MemberLinks {
-  /** The member is told the workspace and never its key. */
+  /**
+   * Creates a connection, which is not open yet. The member receives the
+   * workspace's name, but never its key.
+   */
   abstract create(target: MemberTarget, workspace: string): MemberLink;
 }
--- a/packages/gateway/src/ports/primary_orders.ts
+++ b/packages/gateway/src/ports/primary_orders.ts
@@ -1,21 +1,25 @@
 import type {Result} from '@pistachiorill/core';
 
-/** An order that makes a member the primary of its group. */
+/** A request to promote a member to the primary of its group. */
 export interface PromotionOrder {
   readonly group: string;
   readonly member: string;
+  /** The coordinator that makes the request. */
   readonly holder: string;
+  /** The fencing number of the coordinator lease. */
   readonly fence: number;
 }
 
+/** Why a promotion is not confirmed. */
 export type OrderError =
   /** The member cannot be promoted. */
   | {readonly kind: 'rejected'; readonly detail: string}
-  /** Nothing was done. */
+  /** The request had no effect. */
   | {readonly kind: 'unavailable'; readonly detail: string}
+  /** The promotion may or may not have taken place. */
   | {readonly kind: 'unknown-outcome'; readonly detail: string};
 
-/** Gives orders to the platform that runs the members. */
+/** Requests promotions from the platform that runs the members. */
 export abstract class PrimaryOrders {
   abstract promote(
     order: PromotionOrder,
--- a/packages/gateway/src/ports/readiness_endpoint.ts
+++ b/packages/gateway/src/ports/readiness_endpoint.ts
@@ -1,8 +1,9 @@
-/** Whether the VM should get new connections. */
+/** Whether the VM should receive new connections. */
 export type Readiness = 'ready' | 'not-ready';
 
-/** Tells the platform's balancer whether to send connections to this VM. */
+/** Reports to the platform's load balancer whether this VM is ready. */
 export abstract class ReadinessEndpoint {
+  /** Serves the result of `readiness` on an address. */
   abstract listen(address: string, readiness: () => Readiness): void;
   abstract close(): void;
 }
--- a/packages/gateway/src/session/__tests__/place_filter.test.ts
+++ b/packages/gateway/src/session/__tests__/place_filter.test.ts
@@ -45,17 +45,18 @@
   };
 }
 
-async function place(fake: FakeGroup, what: RoutedStatement) {
+/** Runs a statement; returns the result and the requests of each member. */
+async function place(fake: FakeGroup, routed: RoutedStatement) {
   const filter = new PlaceFilter({
     database: () => fake.task,
     clock: () => performance.now(),
     log: silentLogger(),
   });
-  const placed = await filter.run(what);
+  const placed = await filter.run(routed);
   const requests = Object.fromEntries(
     [...fake.links.members].map(([name, member]) => [name, member.requests]),
   );
-  // How long an attempt waited differs from run to run.
+  // The time limit of an attempt differs from run to run.
   const err = placed.ok
     ? undefined
     : {...placed.err, detail: placed.err.detail.replace(/\d+ ms/, 'N ms')};
@@ -71,28 +72,28 @@
 const CASES: ReadonlyArray<
   readonly [string, 'read' | 'write', Partial<DatabaseRoute>, Setup]
 > = [
-  ['a write at the primary', 'write', STRICT, () => undefined],
+  ['runs a write on the primary', 'write', STRICT, () => undefined],
   [
-    'a write whose answer is lost',
+    'reports an unknown outcome for a write without a response',
     'write',
     STRICT,
     fake => (fake.member('a').mood = 'loses-answers'),
   ],
   [
-    'a write that the member refuses as busy, once',
+    'retries a write that the member refuses once as busy',
     'write',
     STRICT,
     fake => fake.member('a').errors.push({command: 'statement', kind: 'busy'}),
   ],
   [
-    'a write that fails at the member',
+    'reports the error of a write that fails on the member',
     'write',
     STRICT,
     fake =>
       fake.member('a').errors.push({command: 'statement', kind: 'failed'}),
   ],
   [
-    'a write at a member that no longer leads',
+    'refuses a write if the recorded primary does not lead',
     'write',
     STRICT,
     fake => {
@@ -104,19 +105,19 @@
     },
   ],
   [
-    'a write without a right to the primary',
+    'refuses a write without a valid primary lease',
     'write',
     STRICT,
     fake => (fake.right = {kind: 'denied', reason: 'proof-expired'}),
   ],
   [
-    'a strict read whose primary does not take connections',
+    'refuses a strict read if the primary accepts no connections',
     'read',
     STRICT,
     fake => (fake.member('a').mood = 'refuses-connections'),
   ],
   [
-    'a read of recent data without a sample',
+    'runs a bounded-age read on the primary if no log position is known',
     'read',
     {consistency: 'bounded-age'},
     () => undefined,
@@ -124,8 +125,8 @@
 ];
 
 describe('PlaceFilter', () => {
-  // Guards against a write that is tried twice after it may have run, and
-  // against a refusal that says otherwise.
+  // Guards against the retry of a write that may have run already, and against
+  // a refusal that reports it as not run.
   it.each(CASES)('%s', async (unusedName, access, route, setup) => {
     group = new FakeGroup();
     setup(group);
@@ -133,26 +134,26 @@
     expect(placed).toMatchSnapshot();
   });
 
-  // Guards against an acknowledged write of a primary that was replaced while
-  // it worked.
-  it('does not pass on a write whose right ended meanwhile', async () => {
+  // Guards against an acknowledged write from a primary that was replaced while
+  // the write ran.
+  it('does not acknowledge a write if the primary lease ends meanwhile', async () => {
     const fake = new FakeGroup();
     group = fake;
-    let asked = 0;
+    let reads = 0;
     Object.defineProperty(fake, 'right', {
       get: () =>
-        ++asked > 1 ? {kind: 'denied', reason: 'proof-expired'} : undefined,
+        ++reads > 1 ? {kind: 'denied', reason: 'proof-expired'} : undefined,
     });
     const {result} = await place(fake, statement('write'));
     expect(result).toMatchObject({kind: 'unknown-outcome'});
   });
 
-  // Guards against a read at a replica that lacks what the age demands.
-  it('reads at a replica from the primary position on', async () => {
+  // Guards against a read from a replica whose data exceeds the maximum age.
+  it('requires the position of the primary in a read on a replica', async () => {
     group = new FakeGroup();
     await place(group, statement('write'));
     const recent = {consistency: 'bounded-age'} as const;
-    // Another workspace, so that no connection to the primary is at hand.
+    // Another workspace, which has no idle connection to the primary.
     const {requests} = await place(group, {
       ...statement('read', recent),
       workspace: 'inspectors',
@@ -161,8 +162,8 @@
     expect(replicas).toContain('q1 READ x after 1.10');
   });
 
-  // Guards against a wait for a replica that is behind.
-  it('goes to another member when one is behind', async () => {
+  // Guards against a read that waits for a lagging replica to catch up.
+  it('retries a read on another member if a replica is behind', async () => {
     group = new FakeGroup();
     await place(group, statement('write'));
     for (const name of ['b', 'c']) {
@@ -173,8 +174,9 @@
     expect(result).toMatchObject({kind: 'done'});
   });
 
-  // Guards against a refusal although the group gets a primary in time.
-  it('waits for a primary that is being replaced', async () => {
+  // Guards against a refusal if the new primary is in place before the
+  // statement's deadline.
+  it('waits for the new primary during a switchover', async () => {
     const fake = new FakeGroup();
     group = fake;
     const record = {phase: 'moving', from: 'a', reason: 'leaving'} as const;
@@ -182,6 +184,6 @@
     setTimeout(() => fake.settle('b', 3), 40);
     fake.member('b').role = 'primary';
     const {result, requests} = await place(fake, statement('write'));
-    expect({result, atFormer: requests['a']}).toMatchSnapshot();
+    expect({result, formerPrimaryRequests: requests['a']}).toMatchSnapshot();
   });
 });
--- a/packages/gateway/src/session/__tests__/session_task.test.ts
+++ b/packages/gateway/src/session/__tests__/session_task.test.ts
@@ -14,9 +14,12 @@
 import {RouteFilter} from '../route_filter.js';
 import {SessionTask} from '../session_task.js';
 
+/** How long a test waits for pending statements to finish. */
 const SETTLE_MS = 40;
 
+/** Records what the session sends to its caller. */
 class FakeCaller extends CallerLink {
+  /** The replies and other calls as text, in order. */
   readonly seen: string[] = [];
   private open = true;
 
@@ -86,6 +89,7 @@
 
 afterEach(() => group?.close());
 
+/** Starts a session with a fake caller and a group of fake members. */
 function start() {
   const fake = new FakeGroup();
   group = fake;
@@ -148,18 +152,18 @@
 const ROLLBACK: CallerStatement = {kind: 'rollback'};
 
 describe('SessionTask', () => {
-  // Guards against statements of a transaction outside of it, and against a
-  // commit that a member did not confirm.
+  // Guards against statements of a transaction that run outside of it, and
+  // against a commit that is acknowledged without a member's confirmation.
   it.each<[string, CallerStatement[]]>([
-    ['a statement alone', [READ]],
-    ['a transaction', [BEGIN, READ, WRITE, COMMIT]],
-    ['a transaction without statements', [BEGIN, COMMIT]],
-    ['a rollback', [BEGIN, WRITE, ROLLBACK, READ]],
-    ['a rollback of nothing', [ROLLBACK]],
-    ['a commit of nothing', [COMMIT]],
-    ['two begins', [BEGIN, BEGIN, READ]],
+    ['runs a single statement outside a transaction', [READ]],
+    ['runs a transaction on one connection', [BEGIN, READ, WRITE, COMMIT]],
+    ['commits a transaction without statements', [BEGIN, COMMIT]],
+    ['rolls a transaction back', [BEGIN, WRITE, ROLLBACK, READ]],
+    ['accepts a rollback without a transaction', [ROLLBACK]],
+    ['refuses a commit without a transaction', [COMMIT]],
+    ['refuses a second begin', [BEGIN, BEGIN, READ]],
     [
-      'values and prepared statements',
+      'sets values and prepares statements on the connection',
       [
         {kind: 'set', name: 'lang', value: 'tw'},
         {kind: 'prepare', name: 's', statement: {access: 'read', shape: 'q'}},
@@ -179,24 +183,24 @@
   });
 
   // Guards against a statement that runs after its transaction was lost, and
-  // against a promise about a commit without an answer.
+  // against a definite result for a commit without a response.
   it.each<[string, (fake: FakeGroup) => void, CallerStatement[]]>([
     [
-      'the second statement fails',
+      'reports a rollback if the member refuses the commit',
       fake => {
         fake.member('a').errors.push({command: 'commit', kind: 'not-primary'});
       },
       [BEGIN, WRITE, COMMIT, READ],
     ],
     [
-      'a statement is refused',
+      'refuses further statements after one fails',
       fake => {
         fake.member('a').errors.push({command: 'statement', kind: 'failed'});
       },
       [BEGIN, WRITE, READ, COMMIT, READ],
     ],
     [
-      'a statement is refused, then rolled back',
+      'accepts a rollback after a statement fails',
       fake => {
         fake.member('a').errors.push({command: 'statement', kind: 'failed'});
       },
@@ -213,7 +217,7 @@
     }).toMatchSnapshot();
   });
 
-  it('says nothing of a commit whose answer is lost', async () => {
+  it('reports an unknown outcome for a commit without a response', async () => {
     const {fake, caller, open, run} = start();
     open();
     await run(BEGIN, WRITE);
@@ -224,7 +228,8 @@
     );
   });
 
-  // Guards against callers without a key, and against a key that works on.
+  // Guards against access with an invalid key, and against a withdrawn key that
+  // remains usable.
   it.each([
     ['wash-db', 'wrong'],
     ['other-db', 'k1'],
@@ -235,7 +240,7 @@
     expect(caller.seen).toMatchSnapshot();
   });
 
-  it('ends a session whose key is withdrawn', async () => {
+  it('rolls back and refuses statements if the key is withdrawn', async () => {
     const {fake, caller, session, state, open, run} = start();
     open();
     await run(BEGIN, WRITE);
@@ -248,9 +253,9 @@
     }).toMatchSnapshot();
   });
 
-  // Guards against a stop that cuts a transaction, and against one that waits
-  // for idle sessions.
-  it('drains after the transaction', async () => {
+  // Guards against a shutdown that aborts an open transaction, and against one
+  // that waits for idle sessions.
+  it('closes after the open transaction when it drains', async () => {
     const {caller, session, open, run} = start();
     open();
     await run(BEGIN, WRITE);
@@ -261,8 +266,8 @@
     expect({duringTransaction, after: caller.seen}).toMatchSnapshot();
   });
 
-  // Guards against what a caller that left has begun.
-  it('rolls back when the caller leaves', async () => {
+  // Guards against a transaction that stays open after its caller disconnected.
+  it('rolls back if the caller disconnects', async () => {
     const {fake, session, open, run} = start();
     open();
     await run(BEGIN, WRITE);
--- a/packages/gateway/src/session/admit_filter.ts
+++ b/packages/gateway/src/session/admit_filter.ts
@@ -5,12 +5,15 @@
 import type {Admission, QuotaTask} from '../quota/quota_task.js';
 import type {RoutedStatement} from './session_statement.js';
 
-/** The part of the latency target that a statement may wait for a token. */
+/** The share of the latency target that a statement may wait for a token. */
 const TOKEN_WAIT_SHARE = 0.25;
-/** The same while the VM has just started and has no tokens yet. */
+/** The same for a VM that has just started and holds no tokens yet. */
 const STARTUP_TOKEN_WAIT_SHARE = 0.8;
 
-/** Takes one token of the workspace's rate for each operation. */
+/**
+ * Takes one token of the workspace's rate limit for each operation. Anonymous
+ * callers need none.
+ */
 export class AdmitFilter extends Filter<
   RoutedStatement,
   RoutedStatement,
--- a/packages/gateway/src/session/conclude_fault.ts
+++ b/packages/gateway/src/session/conclude_fault.ts
@@ -3,7 +3,10 @@
 import type {JobFault} from '../database/member_connection.js';
 import type {SessionRefusal} from '../ports/caller_link.js';
 
-/** Turns a failed attempt into what the caller may conclude. */
+/**
+ * Converts a failed attempt into a refusal, and decides whether the statement
+ * may be retried on another member.
+ */
 export function concludeFault(
   effect: StatementEffect,
   scope: 'first' | 'pinned',
@@ -37,7 +40,7 @@
   };
 }
 
-/** The refusal of a statement that was not run. */
+/** Creates the refusal of a statement that was not run. */
 export function busy(detail: string, retryAfterMs: number): SessionRefusal {
   return {kind: 'busy', detail, retryAfterMs};
 }
--- a/packages/gateway/src/session/open_transaction.ts
+++ b/packages/gateway/src/session/open_transaction.ts
@@ -15,39 +15,43 @@
 import type {MemberAnswer, MemberCommand} from '../ports/member_link.js';
 import {concludeFault} from './conclude_fault.js';
 
-/** How long a member may take to roll back. */
+/** The time limit of a rollback. */
 const ROLLBACK_TIMEOUT_MS = 400;
 
-/** A statement inside a transaction. */
+/** A statement inside a transaction, which runs on its connection. */
 export interface PinnedStatement {
   readonly id: string;
   readonly command: MemberCommand;
   readonly access: StatementAccess | 'commit';
   readonly prepared?: PreparedStatement | undefined;
   readonly values: SessionValues;
+  /** The time at which the statement times out. */
   readonly deadline: number;
 }
 
-/** A transaction that holds a member connection until it ends. */
+/** A transaction, which keeps its connection checked out until it ends. */
 export class OpenTransaction {
   private state: 'open' | 'ended' = 'open';
 
   constructor(
-    /** The route's group and time limit as they were when it began. */
+    /** The route's statement timeout when the transaction began. */
     readonly statementTimeoutMs: number,
     private readonly checkout: Lease,
     private readonly database: DatabaseTask,
     private readonly clock: Clock,
   ) {}
 
-  /** Runs a statement; after a failure the transaction has ended. */
+  /**
+   * Runs a statement. Any failure ends the transaction, and so does a result
+   * from a member that may have been replaced as the primary.
+   */
   async run(
     statement: PinnedStatement,
   ): Promise<Result<MemberAnswer, SessionRefusal>> {
     const {id, command, prepared, values, deadline, access} = statement;
     const result = await this.send({id, command, prepared, values, deadline});
     const validity = await ask<LeaseValidity>(reply =>
-      this.database.tell({kind: 'confirm', lease: this.checkout, reply}),
+      this.database.tell({kind: 'confirm', checkout: this.checkout, reply}),
     );
     if (result.ok && validity === 'valid') {
       if (access === 'commit') this.end();
@@ -61,7 +65,7 @@
     return fail(concludeFault(effect, 'pinned', fault).refusal);
   }
 
-  /** Rolls back and returns the connection for further use. */
+  /** Rolls back and returns the connection for reuse. */
   async rollback(values: SessionValues): Promise<void> {
     if (this.state === 'ended') return;
     this.state = 'ended';
@@ -71,9 +75,10 @@
       deadline: this.clock() + ROLLBACK_TIMEOUT_MS,
     });
     if (!result.ok) this.checkout.connection.tell({kind: 'close'});
-    this.database.tell({kind: 'return', lease: this.checkout});
+    this.database.tell({kind: 'return', checkout: this.checkout});
   }
 
+  /** Closes the connection, upon which the member rolls back. */
   private abandon(): void {
     this.checkout.connection.tell({kind: 'close'});
     this.end();
@@ -82,7 +87,7 @@
   private end(): void {
     if (this.state === 'ended') return;
     this.state = 'ended';
-    this.database.tell({kind: 'return', lease: this.checkout});
+    this.database.tell({kind: 'return', checkout: this.checkout});
   }
 
   private send(job: {
--- a/packages/gateway/src/session/place_filter.ts
+++ b/packages/gateway/src/session/place_filter.ts
@@ -12,45 +12,52 @@
 import {busy, concludeFault} from './conclude_fault.js';
 import type {RoutedStatement} from './session_statement.js';
 
-/** Members that one statement is tried on. */
+/** The maximum number of members on which one statement is tried. */
 const MAX_ATTEMPTS = 4;
-/** Attempts of one statement that a member without a free connection ends. */
+/**
+ * The maximum number of attempts that members reject as their connection limit
+ * is reached. These don't count towards `MAX_ATTEMPTS`.
+ */
 const MAX_REJECTIONS = 10;
-/** A read is sent to a second member when the first takes this much longer. */
+/**
+ * A read without a result after this time is also sent to a second member: a
+ * share of the latency target, but at least `HEDGE_MIN_MS`.
+ */
 const HEDGE_MIN_MS = 70;
 const HEDGE_TARGET_SHARE = 0.45;
-/** The wait for a connection, in parts of the latency target. */
+/** The share of the latency target that a statement may wait to check out. */
 const CHECKOUT_WAIT_SHARE = 0.9;
-/** How long a statement waits for a new primary. */
+/** How long a statement may wait for a new primary. */
 const PRIMARY_CHANGE_WAIT_MS = 600;
-/** What remains of the statement's time when a wait for a primary ends. */
+/** Waits and retries end this long before the statement's deadline. */
 const EXECUTION_RESERVE_MS = 100;
 
-/** A member's answer, with the lease that a transaction keeps. */
+/** A member's answer and the checkout, which a new transaction keeps. */
 export interface PlacedAnswer {
   readonly answer: MemberAnswer;
-  readonly lease: Lease;
+  readonly checkout: Lease;
 }
 
+/** The services of the VM that the filter uses. */
 export interface PlaceTools {
   readonly database: (group: string) => DatabaseTask | undefined;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** An attempt that did not lead to a result. */
+/** An attempt without a result. */
 interface FailedAttempt {
   readonly conclusion: 'retry' | 'final';
   readonly refusal: SessionRefusal;
   readonly member?: string | undefined;
-  readonly cause?: 'member-full' | 'other';
+  readonly cause?: 'connection-limit' | 'other';
 }
 
 type AttemptResult = Result<PlacedAnswer, FailedAttempt>;
 
 /**
- * Runs a statement, or the first statement of a transaction, on a member. It
- * is tried on further members as long as nothing of it can have been kept.
+ * Runs a statement, or the first statement of a transaction, on a member. Tries
+ * further members as long as no earlier attempt can have had an effect.
  */
 export class PlaceFilter extends Filter<
   RoutedStatement,
@@ -76,7 +83,7 @@
       this.logFailure(statement, failure, attempt);
       if (failure.conclusion === 'final' || failure.member === undefined) break;
       if (this.deps.clock() >= statement.deadline - EXECUTION_RESERVE_MS) break;
-      if (failure.cause !== 'member-full') avoid.push(failure.member);
+      if (failure.cause !== 'connection-limit') avoid.push(failure.member);
       else if (++rejections > MAX_REJECTIONS) break;
     }
     return fail(
@@ -88,7 +95,7 @@
     );
   }
 
-  /** One attempt, and for a read that takes long a second one beside it. */
+  /** Makes one attempt; hedges a slow read with a second one in parallel. */
   private async attempt(
     statement: RoutedStatement,
     avoid: readonly string[],
@@ -107,6 +114,10 @@
     return firstSuccess(first.done, second.done);
   }
 
+  /**
+   * Checks out a connection and runs the statement. `member` returns the chosen
+   * member as soon as the checkout succeeds.
+   */
   private runOnce(
     statement: RoutedStatement,
     avoid: readonly string[],
@@ -153,8 +164,8 @@
           workspace,
           values,
           use: statement.begin === undefined ? 'statement' : 'transaction',
-          need: requirement,
-          // The only primary is tried again after it refused.
+          requirement,
+          // There is only one primary, so it gets a second attempt.
           avoid:
             requirement.kind === 'primary' && avoid.length <= 1 ? [] : avoid,
           regions,
@@ -165,20 +176,24 @@
     );
   }
 
+  /**
+   * Runs the statement on a checked-out connection. A result counts only if the
+   * member still has the role of the checkout afterwards.
+   */
   private async execute(
     database: DatabaseTask,
-    lease: Lease,
+    checkout: Lease,
     statement: RoutedStatement,
   ): Promise<AttemptResult> {
     const {id, command, prepared, begin, values, deadline} = statement;
-    const result = await ask<JobResult>(reply =>
-      lease.connection.tell({
+    const ran = await ask<JobResult>(reply =>
+      checkout.connection.tell({
         kind: 'run',
         job: {
           values,
           prepared,
           begin,
-          after: lease.after,
+          after: checkout.after,
           request: {id, command},
           deadline,
         },
@@ -186,41 +201,43 @@
       }),
     );
     const validity = await ask<LeaseValidity>(reply =>
-      database.tell({kind: 'confirm', lease, reply}),
+      database.tell({kind: 'confirm', checkout, reply}),
     );
-    const pin = begin !== undefined && result.ok;
-    if (!pin || validity === 'expired') this.checkIn(database, lease, begin);
-    if (!result.ok) return this.failed(database, lease, statement, result.err);
+    const pin = begin !== undefined && ran.ok;
+    if (!pin || validity === 'expired') this.checkIn(database, checkout, begin);
+    if (!ran.ok) return this.failed(database, checkout, statement, ran.err);
     if (validity === 'expired') {
       const detail = 'the member may have been replaced meanwhile';
-      return this.failed(database, lease, statement, {
+      return this.failed(database, checkout, statement, {
         failure: 'no-answer',
         detail,
       });
     }
-    return ok({answer: result.value.answer, lease});
+    return ok({answer: ran.value.answer, checkout});
   }
 
+  /** Returns a connection; one with an open transaction is closed first. */
   private checkIn(
     database: DatabaseTask,
-    lease: Lease,
+    checkout: Lease,
     begin: RoutedStatement['begin'],
   ): void {
-    if (begin !== undefined) lease.connection.tell({kind: 'close'});
-    database.tell({kind: 'return', lease});
+    if (begin !== undefined) checkout.connection.tell({kind: 'close'});
+    database.tell({kind: 'return', checkout});
   }
 
+  /** Reports a fault to the group's task and decides on a retry. */
   private failed(
     database: DatabaseTask,
-    lease: Lease,
+    checkout: Lease,
     statement: RoutedStatement,
     fault: JobFault,
   ): AttemptResult {
-    const {member} = lease;
+    const {member} = checkout;
     if (fault.failure === 'behind') {
       database.tell({kind: 'behind', member, applied: fault.applied});
     }
-    if (fault.failure === 'not-primary' && lease.role === 'primary') {
+    if (fault.failure === 'not-primary' && checkout.role === 'primary') {
       database.tell({kind: 'not-primary', member});
     }
     const {conclusion, refusal} = concludeFault(
@@ -229,7 +246,9 @@
       fault,
     );
     const cause =
-      fault.error?.kind === 'too-many-connections' ? 'member-full' : 'other';
+      fault.error?.kind === 'too-many-connections'
+        ? 'connection-limit'
+        : 'other';
     return fail({conclusion, refusal, member, cause});
   }
 
@@ -249,7 +268,7 @@
         refusal,
         elapsedMs: Math.round(this.deps.clock() - statement.receivedAt),
       },
-      'attempt failed',
+      'attempt to run a statement failed',
     );
   }
 }
@@ -275,7 +294,7 @@
   };
 }
 
-/** The first placement that succeeds, or else the last that fails. */
+/** Returns the first result that succeeds, or else the failure of `a`. */
 async function firstSuccess(
   a: Promise<AttemptResult>,
   b: Promise<AttemptResult>,
--- a/packages/gateway/src/session/route_filter.ts
+++ b/packages/gateway/src/session/route_filter.ts
@@ -4,10 +4,10 @@
 import {ANONYMOUS} from './session_statement.js';
 import type {ReceivedStatement, RoutedStatement} from './session_statement.js';
 
-/** How soon a VM without a configuration may be tried again. */
+/** How soon a caller may retry on a VM without a configuration. */
 const STARTUP_RETRY_AFTER_MS = 500;
 
-/** Who a key stands for, under the present configuration. */
+/** Looks up a database's route and the workspace of a key. */
 export function findCaller(
   configuration: ServedConfiguration | undefined,
   database: string,
@@ -40,7 +40,10 @@
   });
 }
 
-/** Where both are confined, both bind. An empty list confines nothing. */
+/**
+ * Returns the regions that both lists allow. An empty list allows all regions,
+ * so lists without a common region result in a name that matches none.
+ */
 function commonRegions(
   a: readonly string[],
   b: readonly string[],
@@ -51,7 +54,10 @@
   return common.length > 0 ? common : ['none'];
 }
 
-/** Looks up a statement's route and checks its key anew. */
+/**
+ * Looks up a statement's route and checks its key again, as the configuration
+ * may have changed since the session was opened.
+ */
 export class RouteFilter extends Filter<
   ReceivedStatement,
   RoutedStatement,
--- a/packages/gateway/src/session/session_message.ts
+++ b/packages/gateway/src/session/session_message.ts
@@ -7,7 +7,9 @@
 import type {PlacedAnswer} from './place_filter.js';
 import type {ReceivedStatement, RoutedStatement} from './session_statement.js';
 
+/** The messages that a session's task handles. */
 export type SessionMessage =
+  /** An event on the caller's connection. */
   | {
       readonly kind: 'event';
       readonly event: CallerEvent;
@@ -15,19 +17,22 @@
     }
   /** The configuration changed. */
   | {readonly kind: 'reconfigured'}
-  /** The VM stops: sessions end when they hold no transaction. */
+  /** The VM stops: the session closes as soon as no transaction is open. */
   | {readonly kind: 'drain'}
-  /** Open transactions end now. */
+  /** An open transaction is rolled back at once. */
   | {readonly kind: 'abort-transaction'}
+  /** The open transaction exceeded its idle timeout. */
   | {readonly kind: 'transaction-idle'};
 
-/** The pipelines and tools that all sessions of a VM share. */
+/** The pipelines and services that all sessions of a VM share. */
 export interface SessionTools {
+  /** Authenticates a statement and applies the workspace's rate limit. */
   readonly admit: Pipeline<ReceivedStatement, RoutedStatement, SessionRefusal>;
+  /** Runs an admitted statement on a member. */
   readonly place: Pipeline<RoutedStatement, PlacedAnswer, SessionRefusal>;
   readonly database: (group: string) => DatabaseTask | undefined;
   readonly configuration: () => ServedConfiguration | undefined;
-  /** Returns the token of an operation that was not run. */
+  /** Returns the token of an operation that was not run to its workspace. */
   readonly refund: (workspace: string) => void;
   readonly clock: Clock;
   readonly log: Logger;
--- a/packages/gateway/src/session/session_statement.ts
+++ b/packages/gateway/src/session/session_statement.ts
@@ -8,34 +8,36 @@
 } from '@pistachiorill/core';
 import type {MemberCommand} from '../ports/member_link.js';
 
-/** A statement that may need a member, with the state of its session. */
+/** A statement to run on a member, with the state of its session. */
 export interface ReceivedStatement {
   readonly id: string;
   readonly database: string;
   readonly key: string;
   readonly receivedAt: number;
   readonly command: MemberCommand;
-  /** What the statement does; a commit without statements reads nothing. */
+  /** `commit` ends a transaction without statements, which reads nothing. */
   readonly access: StatementAccess | 'commit';
   readonly prepared?: PreparedStatement | undefined;
-  /** How the session began the transaction of which this is the first. */
+  /** The access of the transaction that begins with this statement, if any. */
   readonly begin?: StatementAccess | undefined;
   readonly values: SessionValues;
-  /** The last commit of the session. */
+  /** The log position of the session's last commit. */
   readonly seen: LogPosition | undefined;
-  /** Undefined until the VM knows a configuration. */
+  /** Undefined until the VM has received a configuration. */
   readonly configuration: ServedConfiguration | undefined;
 }
 
+/** A statement with its route and the workspace that it runs for. */
 export interface RoutedStatement extends ReceivedStatement {
   readonly route: DatabaseRoute;
-  /** The workspace that holds the key, or `anonymous`. */
+  /** The workspace of the key, or `ANONYMOUS`. */
   readonly workspace: string;
   readonly caller: 'keyed' | 'anonymous';
+  /** Regions whose members may run the statement; empty for all regions. */
   readonly regions: readonly string[];
-  /** When the member's time for the statement is over. */
+  /** The time at which the statement times out. */
   readonly deadline: number;
 }
 
-/** The name that members are told for callers without a key. */
+/** Sent to members in place of a workspace for callers without a key. */
 export const ANONYMOUS = '-';
--- a/packages/gateway/src/session/session_task.ts
+++ b/packages/gateway/src/session/session_task.ts
@@ -18,16 +18,17 @@
 import {findCaller} from './route_filter.js';
 import type {SessionMessage, SessionTools} from './session_message.js';
 
+/** The state of a session's transaction. */
 type SessionTransaction =
   | {readonly kind: 'none'}
-  /** Begun by the caller; its first statement chooses the member. */
+  /** Begun by the caller; the first statement determines the member. */
   | {readonly kind: 'begun'; readonly access: StatementAccess}
   | {readonly kind: 'open'; readonly transaction: OpenTransaction}
   | {readonly kind: 'failed'};
 
 const LOCAL_REPLY: SessionReply = {kind: 'local'};
 
-/** Owns one caller's session: its values, statements and transaction. */
+/** Owns a caller's session: values, prepared statements and transaction. */
 export class SessionTask extends Task<SessionMessage> {
   private database = '';
   private key = '';
@@ -35,6 +36,7 @@
   private readonly values = new Map<string, string>();
   private readonly prepared = new Map<string, PreparedStatement>();
   private transaction: SessionTransaction = {kind: 'none'};
+  /** The log position of the session's last commit. */
   private seen: LogPosition | undefined;
   private idleTimer: NodeJS.Timeout | undefined;
 
@@ -163,7 +165,7 @@
     }
   }
 
-  /** Ends a failed transaction; all other statements are refused until then. */
+  /** Refuses statements until a rollback or commit ends the transaction. */
   private handleStatementAfterFailure(
     id: string,
     statement: CallerStatement,
@@ -262,7 +264,7 @@
     this.reply({kind: 'member', answer}, answer.applied);
   }
 
-  /** Runs a statement alone, or the first one of a transaction. */
+  /** Runs a single statement, or the first one of a transaction. */
   private async runFirst(
     id: string,
     command: MemberCommand,
@@ -294,23 +296,23 @@
       }
       return placed;
     }
-    const {lease, answer} = placed.value;
+    const {checkout, answer} = placed.value;
     const {group, statementTimeoutMs} = admitted.value.route;
     const database = this.deps.database(group);
     if (begin === undefined) return ok(answer);
     if (!database) {
-      lease.connection.tell({kind: 'close'});
+      checkout.connection.tell({kind: 'close'});
       return fail({kind: 'aborted', detail: 'the group is no longer served'});
     }
     if (access === 'commit') {
-      database.tell({kind: 'return', lease});
+      database.tell({kind: 'return', checkout});
       return ok(answer);
     }
     this.transaction = {
       kind: 'open',
       transaction: new OpenTransaction(
         statementTimeoutMs,
-        lease,
+        checkout,
         database,
         this.deps.clock,
       ),
@@ -340,7 +342,7 @@
     this.reply({kind: 'refused', refusal});
   }
 
-  /** Ends what a withdrawn key or a removed route no longer allows. */
+  /** Fails the transaction or ends the session if access was withdrawn. */
   private async handleReconfiguration(): Promise<void> {
     if (this.phase === 'new') return;
     const configuration = this.deps.configuration();
@@ -360,7 +362,7 @@
     await transaction.transaction.rollback(this.values);
   }
 
-  /** A transaction that its caller leaves idle holds a scarce connection. */
+  /** Limits the idle time, as a transaction holds a scarce connection. */
   private startTransactionTimeout(): void {
     clearTimeout(this.idleTimer);
     if (this.transaction.kind !== 'open' || this.phase === 'closed') return;
--- a/packages/gateway/src/testing/fake_group.ts
+++ b/packages/gateway/src/testing/fake_group.ts
@@ -5,13 +5,14 @@
 import type {ListedMember} from '../ports/member_directory.js';
 import {FakeLinks} from './fake_member.js';
 
-/** A logger that writes nothing. */
+/** Creates a logger that writes nothing. */
 export function silentLogger(): Logger {
   const log = createLogger('vm-test', 'error');
   log.level(1_000);
   return log;
 }
 
+/** Creates a directory entry of a ready replica, with the given changes. */
 export function listedMember(
   member: string,
   more: Partial<ListedMember> = {},
@@ -29,12 +30,13 @@
   };
 }
 
-/** A group of three fake members, of which `a` leads, and its task. */
+/** The task of a group with three fake members, of which `a` is primary. */
 export class FakeGroup {
   readonly links = new FakeLinks();
   readonly task: DatabaseTask;
+  /** The primaries that the task reported as unreachable. */
   readonly suspects: string[] = [];
-  /** Overrides the right that follows from the record. */
+  /** Overrides the primary lease that follows from the leadership record. */
   right: PrimaryRight | undefined;
 
   constructor(connectionLimit = 8) {
@@ -59,12 +61,14 @@
     this.settle('a', 1);
   }
 
+  /** Returns a fake member; throws if there is none of this name. */
   member(name: string) {
     const member = this.links.members.get(name);
-    if (!member) throw new Error(`no member ${name}`);
+    if (!member) throw new Error(`fake member ${name} does not exist`);
     return member;
   }
 
+  /** Sets the members that the directory lists. */
   show(members: readonly ListedMember[], connectionLimit = 8): void {
     this.task.tell({
       kind: 'view',
@@ -82,6 +86,7 @@
     });
   }
 
+  /** Sends a leadership record with a settled primary to the task. */
   settle(primary: string, version: number): void {
     const record = {phase: 'settled', primary} as const;
     this.task.tell({kind: 'leadership', leadership: {record, version}});
--- a/packages/gateway/src/testing/fake_member.ts
+++ b/packages/gateway/src/testing/fake_member.ts
@@ -11,20 +11,29 @@
   TransactionState,
 } from '../ports/member_link.js';
 
-/** What a fake member does with requests. */
+/**
+ * How a fake member handles requests. `silent` accepts no connections and does
+ * not respond on open ones; `loses-answers` accepts connections, but does not
+ * respond to requests; `connection-limit` rejects connections with an error.
+ */
 export type MemberMood =
-  'answers' | 'silent' | 'refuses-connections' | 'full' | 'loses-answers';
+  | 'answers'
+  | 'silent'
+  | 'refuses-connections'
+  | 'connection-limit'
+  | 'loses-answers';
 
-/** A member in memory, with a log of what it was sent. */
+/** An in-memory member that records the requests it receives. */
 export class FakeMember {
   role: MemberRole = 'replica';
   term = 1;
   received: LogPosition = {term: 1, position: 10};
   applied: LogPosition = {term: 1, position: 10};
   mood: MemberMood = 'answers';
-  /** Errors for the next requests, by command. */
+  /** Errors with which the next requests of a command fail, once each. */
   readonly errors: Array<{readonly command: string; kind: MemberErrorKind}> =
     [];
+  /** The received requests as text, in order. */
   readonly requests: string[] = [];
 
   constructor(readonly name: string) {}
@@ -57,7 +66,7 @@
       this.phase = 'closed';
       return fail({kind: 'not-sent', detail: 'no connection'});
     }
-    if (mood === 'full') {
+    if (mood === 'connection-limit') {
       this.phase = 'closed';
       const error = {
         kind: 'too-many-connections',
@@ -123,7 +132,7 @@
   }
 }
 
-/** Connects to fake members by name. */
+/** Creates connections to fake members by name. */
 export class FakeLinks extends MemberLinks {
   readonly members = new Map<string, FakeMember>();
 
--- a/packages/gateway/src/testing/fake_store.ts
+++ b/packages/gateway/src/testing/fake_store.ts
@@ -10,13 +10,17 @@
   TransactionAnswer,
 } from '@pistachiorill/store';
 
+/**
+ * How a fake store handles requests. `loses-answers` applies transactions but
+ * reports an unknown outcome.
+ */
 export type StoreMood = 'answers' | 'down' | 'loses-answers';
 
-/** A store in memory whose clock is 1,000 s ahead of the caller's. */
+/** An in-memory store whose clock is 1,000 s ahead of the caller's. */
 export class FakeStore extends TransactionalStore {
   readonly rows = new Map<string, TableRow>();
   version = 1;
-  /** Requests for changes that brought some. */
+  /** The number of `changes` requests that returned changes. */
   newsAnswered = 0;
   mood: StoreMood = 'answers';
   private readonly history: Array<{key: string; version: number}> = [];
