--- a/packages/gateway/src/database/database_task.ts
+++ b/packages/gateway/src/database/database_task.ts
@@ -207,7 +207,7 @@
     const placed = placeStatement(request, {
       members: this.members,
       samples: this.samples,
-      right: this.deps.right(this.leadership),
+      primaryLease: this.deps.right(this.leadership),
       record: this.leadership?.record,
       now,
     });
@@ -226,8 +226,8 @@
   }
 
   private isPrimary(member: string): boolean {
-    const right = this.deps.right(this.leadership);
-    return right.kind === 'granted' && right.primary === member;
+    const lease = this.deps.right(this.leadership);
+    return lease.kind === 'granted' && lease.primary === member;
   }
 
   private enqueue(
--- a/packages/gateway/src/database/member_health.ts
+++ b/packages/gateway/src/database/member_health.ts
@@ -17,7 +17,7 @@
 /** The state of a member as observed by this VM. */
 export interface MemberHealth {
   /** The moving average of the statement latency. */
-  readonly meanMs: number;
+  readonly meanLatencyMs: number;
   /** The last applied log position that the member reported. */
   readonly applied: LogPosition | undefined;
   readonly lastAnswerAt: number;
@@ -31,7 +31,7 @@
 
 /** The health of a member without any response or failure so far. */
 export const NEW_MEMBER_HEALTH: MemberHealth = {
-  meanMs: INITIAL_MEAN_LATENCY_MS,
+  meanLatencyMs: INITIAL_MEAN_LATENCY_MS,
   applied: undefined,
   lastAnswerAt: -Infinity,
   failingSince: undefined,
@@ -49,12 +49,12 @@
   },
   now: number,
 ): MemberHealth {
-  const {meanMs} = health;
+  const {meanLatencyMs} = health;
   return {
-    meanMs:
+    meanLatencyMs:
       answer.work === 'setup'
-        ? meanMs
-        : meanMs + (answer.tookMs - meanMs) * LATENCY_EWMA_WEIGHT,
+        ? meanLatencyMs
+        : meanLatencyMs + (answer.tookMs - meanLatencyMs) * LATENCY_EWMA_WEIGHT,
     applied: answer.applied ?? health.applied,
     lastAnswerAt: now,
     failingSince: undefined,
--- a/packages/gateway/src/database/member_table.ts
+++ b/packages/gateway/src/database/member_table.ts
@@ -187,7 +187,7 @@
         proximity: this.proximityOf(listed),
         inFlight: pool?.inFlight ?? 0,
         slots: listed.slots,
-        meanMs: health.meanMs,
+        meanMs: health.meanLatencyMs,
         connection: pool?.hasIdle(request.workspace) ? 'idle' : 'to-open',
         applied: health.applied,
         avoidUntil:
--- a/packages/gateway/src/database/place_statement.ts
+++ b/packages/gateway/src/database/place_statement.ts
@@ -32,7 +32,7 @@
   readonly members: MemberTable;
   /** Log positions that the primary reported, and when. */
   readonly samples: PositionSamples;
-  readonly right: PrimaryRight;
+  readonly primaryLease: PrimaryRight;
   readonly record: LeadershipRecord | undefined;
   readonly now: number;
 }
@@ -52,10 +52,10 @@
 
 function placeAtPrimary(
   request: LeaseRequest,
-  {members, right, now}: PlacementBasis,
+  {members, primaryLease: lease, now}: PlacementBasis,
 ): PlacementResult {
-  if (right.kind === 'denied') return fail(refusalOf(right.reason));
-  const {primary: member} = right;
+  if (lease.kind === 'denied') return fail(refusalOf(lease.reason));
+  const {primary: member} = lease;
   const listed = members.listed(member);
   if (!listed || request.avoid.includes(member)) {
     return fail(leaseRefusal('no-primary', 'the primary is not available'));
@@ -86,7 +86,7 @@
   requirement: Extract<LeaseRequest['requirement'], {kind: 'recent'}>,
   basis: PlacementBasis,
 ): PlacementResult {
-  const {members, samples, right, now} = basis;
+  const {members, samples, primaryLease: lease, now} = basis;
   const sample = requiredPosition(
     samples,
     requirement.maxAgeMs - AGE_MARGIN_MS,
@@ -101,8 +101,8 @@
     members.admitWarmingUp(item, now),
   );
   if (member === undefined) {
-    return right.kind === 'denied'
-      ? fail(refusalOf(right.reason))
+    return lease.kind === 'denied'
+      ? fail(refusalOf(lease.reason))
       : fail(leaseRefusal('no-member', 'no member holds recent data'));
   }
   const role = loads.find(load => load.member === member)?.role ?? 'replica';
@@ -111,10 +111,10 @@
 
 /** Returns the role in which each member may be used at present. */
 function rolesOf({
-  right,
+  primaryLease: lease,
   record,
 }: PlacementBasis): (member: string) => MemberRole | 'unusable' {
   const recorded = record?.phase === 'settled' ? record.primary : record?.from;
-  const asPrimary = right.kind === 'granted' ? 'primary' : 'unusable';
+  const asPrimary = lease.kind === 'granted' ? 'primary' : 'unusable';
   return member => (member === recorded ? asPrimary : 'replica');
 }
--- a/packages/gateway/src/session/__tests__/place_filter.test.ts
+++ b/packages/gateway/src/session/__tests__/place_filter.test.ts
@@ -108,7 +108,7 @@
     'refuses a write without a valid primary lease',
     'write',
     STRICT,
-    fake => (fake.right = {kind: 'denied', reason: 'proof-expired'}),
+    fake => (fake.primaryLease = {kind: 'denied', reason: 'proof-expired'}),
   ],
   [
     'refuses a strict read if the primary accepts no connections',
@@ -140,7 +140,7 @@
     const fake = new FakeGroup();
     group = fake;
     let reads = 0;
-    Object.defineProperty(fake, 'right', {
+    Object.defineProperty(fake, 'primaryLease', {
       get: () =>
         ++reads > 1 ? {kind: 'denied', reason: 'proof-expired'} : undefined,
     });
--- a/packages/gateway/src/testing/fake_group.ts
+++ b/packages/gateway/src/testing/fake_group.ts
@@ -37,7 +37,7 @@
   /** The primaries that the task reported as unreachable. */
   readonly suspects: string[] = [];
   /** Overrides the primary lease that follows from the leadership record. */
-  right: PrimaryRight | undefined;
+  primaryLease: PrimaryRight | undefined;
 
   constructor(connectionLimit = 8) {
     for (const name of ['a', 'b', 'c']) this.links.add(name);
@@ -47,7 +47,7 @@
       regionOf: () => 'ga',
       links: this.links,
       clock: () => performance.now(),
-      right: leadership => this.right ?? primaryLeaseOf(leadership),
+      right: leadership => this.primaryLease ?? primaryLeaseOf(leadership),
       onSuspect: (unusedGroup, primary) => this.suspects.push(primary),
       log: silentLogger(),
       onFailed: err => {
--- a/packages/gateway/src/testing/fake_member.ts
+++ b/packages/gateway/src/testing/fake_member.ts
@@ -61,12 +61,12 @@
   }
 
   override async open(): Promise<Result<void, LinkFault>> {
-    const {mood} = this.member;
-    if (mood === 'silent' || mood === 'refuses-connections') {
+    const {mood: mode} = this.member;
+    if (mode === 'silent' || mode === 'refuses-connections') {
       this.phase = 'closed';
       return fail({kind: 'not-sent', detail: 'no connection'});
     }
-    if (mood === 'connection-limit') {
+    if (mode === 'connection-limit') {
       this.phase = 'closed';
       const error = {
         kind: 'too-many-connections',
