--- a/packages/gateway/src/database/database_task.ts
+++ b/packages/gateway/src/database/database_task.ts
@@ -276,11 +276,11 @@
     now: number,
   ): void {
     const {member, connection, fault} = message;
-    const faultEffect = this.members.faulted(member, connection, fault, now);
-    if (faultEffect === 'failed') {
+    const effect = this.members.faulted(member, connection, fault, now);
+    if (effect === 'failed') {
       this.logMember('member.fails', member, 'member does not respond', fault);
     }
-    if (faultEffect !== 'answered') this.suspect(now);
+    if (effect !== 'answered') this.suspect(now);
   }
 
   /** Handles a write that the recorded primary refused as it does not lead. */
