--- a/packages/gateway/src/database/member_connection.ts
+++ b/packages/gateway/src/database/member_connection.ts
@@ -60,6 +60,7 @@
   readonly sentAt: number;
 }
 
+/** The outcome of a job. */
 export type JobResult = Result<JobAnswer, JobFault>;
 
 /** The messages that a member connection handles. */
@@ -217,7 +218,7 @@
     if (outcome.kind === 'done') return ok(undefined);
     const failure = toAttemptFailure(outcome.error.kind);
     return fail({
-      // The caller's statement was not sent, whatever the error is.
+      // The caller's statement was not sent, regardless of the error.
       failure:
         failure === 'failed' || failure === 'timed-out' ? 'refused' : failure,
       detail: `${request.command.kind}: ${outcome.error.code} ${outcome.error.text}`,
--- a/packages/gateway/src/database/primary_stops.ts
+++ b/packages/gateway/src/database/primary_stops.ts
@@ -18,6 +18,7 @@
 export class PrimaryStops {
   private stops: PendingStop[] = [];
 
+  /** The number of pending requests. */
   get size(): number {
     return this.stops.length;
   }
@@ -34,8 +35,9 @@
   }
 
   /**
-   * Closes the connections to members that run nothing for this VM any more, or
-   * whose time to finish is over, and replies with the latest observed position.
+   * Completes the requests whose member runs nothing for this VM, or whose time
+   * to finish is over: closes the connections and replies with the latest
+   * observed position.
    */
   finish(
     poolOf: (member: string) => MemberPool | undefined,
--- a/packages/gateway/src/ports/caller_link.ts
+++ b/packages/gateway/src/ports/caller_link.ts
@@ -83,6 +83,7 @@
 
 /** One caller's connection. Encodes replies; the session decides on them. */
 export abstract class CallerLink {
+  /** Whether the caller is still connected. */
   abstract get isOpen(): boolean;
   /** Confirms that the session is open. */
   abstract accept(): void;
--- a/packages/gateway/src/ports/member_directory.ts
+++ b/packages/gateway/src/ports/member_directory.ts
@@ -17,5 +17,6 @@
 
 /** Lists the members that are registered in the directory. */
 export abstract class MemberDirectory {
+  /** Reads the current entries of all groups. */
   abstract list(): Promise<Result<readonly ListedMember[], StoreReadError>>;
 }
--- a/packages/gateway/src/ports/member_link.ts
+++ b/packages/gateway/src/ports/member_link.ts
@@ -106,7 +106,9 @@
 export abstract class MemberLink {
   /** Whether the connection can run requests. */
   abstract get isUsable(): boolean;
+  /** Connects; fails if the member does not accept in time. */
   abstract open(timeoutMs: number): Promise<Result<void, LinkFault>>;
+  /** Sends a request and waits for its complete response. */
   abstract run(
     request: MemberRequest,
     timeoutMs: number,
--- a/packages/gateway/src/ports/primary_orders.ts
+++ b/packages/gateway/src/ports/primary_orders.ts
@@ -21,6 +21,7 @@
 
 /** Requests promotions from the platform that runs the members. */
 export abstract class PrimaryOrders {
+  /** Requests a promotion and waits for its result. */
   abstract promote(
     order: PromotionOrder,
     timeoutMs: number,
--- a/packages/gateway/src/ports/readiness_endpoint.ts
+++ b/packages/gateway/src/ports/readiness_endpoint.ts
@@ -5,5 +5,6 @@
 export abstract class ReadinessEndpoint {
   /** Serves the result of `readiness` on an address. */
   abstract listen(address: string, readiness: () => Readiness): void;
+  /** Stops listening. */
   abstract close(): void;
 }
--- a/packages/gateway/src/session/session_statement.ts
+++ b/packages/gateway/src/session/session_statement.ts
@@ -30,7 +30,7 @@
 /** A statement with its route and the workspace that it runs for. */
 export interface RoutedStatement extends ReceivedStatement {
   readonly route: DatabaseRoute;
-  /** The workspace of the key, or `ANONYMOUS`. */
+  /** The workspace of the key; a placeholder for anonymous callers. */
   readonly workspace: string;
   readonly caller: 'keyed' | 'anonymous';
   /** Regions whose members may run the statement; empty for all regions. */
--- a/packages/gateway/src/session/session_task.ts
+++ b/packages/gateway/src/session/session_task.ts
@@ -380,6 +380,7 @@
     this.end();
   }
 
+  /** Ends the session and rolls back an open transaction. */
   private async ended(): Promise<void> {
     const {transaction} = this;
     this.end();
@@ -387,6 +388,7 @@
     await transaction.transaction.rollback(this.values);
   }
 
+  /** Marks the session as closed and notifies its owner. */
   private end(): void {
     if (this.phase === 'closed') return;
     this.phase = 'closed';
--- a/packages/gateway/src/testing/fake_member.ts
+++ b/packages/gateway/src/testing/fake_member.ts
@@ -136,6 +136,7 @@
 export class FakeLinks extends MemberLinks {
   readonly members = new Map<string, FakeMember>();
 
+  /** Adds a member that can be connected to. */
   add(name: string): FakeMember {
     const member = new FakeMember(name);
     this.members.set(name, member);
--- a/packages/gateway/src/testing/fake_store.ts
+++ b/packages/gateway/src/testing/fake_store.ts
@@ -30,6 +30,7 @@
     super();
   }
 
+  /** Writes a row and completes pending `changes` requests. */
   put(key: string, value: object): void {
     this.version++;
     const row = {key, value: JSON.stringify(value), version: this.version};
