--- a/packages/gateway/src/session/place_filter.ts
+++ b/packages/gateway/src/session/place_filter.ts
@@ -12,45 +12,52 @@
 import {busy, concludeFault} from './conclude_fault.js';
 import type {RoutedStatement} from './session_statement.js';
 
-/** Members that one statement is tried on. */
+/** The maximum number of members on which one statement is tried. */
 const MAX_ATTEMPTS = 4;
-/** Attempts of one statement that a member without a free connection ends. */
-const MAX_FULL_ATTEMPTS = 10;
-/** A read is sent to a second member when the first takes this much longer. */
+/**
+ * The maximum number of attempts that members reject as their connection limit
+ * is reached. These don't count towards `MAX_ATTEMPTS`.
+ */
+const MAX_REJECTIONS = 10;
+/**
+ * A read without a result after this time is also sent to a second member: a
+ * share of the latency target, but at least `HEDGE_MIN_MS`.
+ */
 const HEDGE_MIN_MS = 70;
 const HEDGE_TARGET_SHARE = 0.45;
-/** The wait for a connection, in parts of the latency target. */
-const LEASE_WAIT_SHARE = 0.9;
-/** How long a statement waits for a new primary. */
-const MOVE_WAIT_MS = 600;
-/** What remains of the statement's time when a wait for a primary ends. */
-const RUN_RESERVE_MS = 100;
+/** The share of the latency target that a statement may wait to check out. */
+const CHECKOUT_WAIT_SHARE = 0.9;
+/** How long a statement may wait for a new primary. */
+const PRIMARY_CHANGE_WAIT_MS = 600;
+/** Waits and retries end this long before the statement's deadline. */
+const EXECUTION_RESERVE_MS = 100;
 
-/** A member's answer, with the lease that a transaction keeps. */
+/** A member's answer and the checkout, which a new transaction keeps. */
 export interface PlacedAnswer {
   readonly answer: MemberAnswer;
-  readonly lease: Lease;
+  readonly checkout: Lease;
 }
 
+/** The services of the VM that the filter uses. */
 export interface PlaceTools {
   readonly database: (group: string) => DatabaseTask | undefined;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** An attempt that did not lead to a result. */
-interface FailedPlacement {
+/** An attempt without a result. */
+interface FailedAttempt {
   readonly conclusion: 'retry' | 'final';
   readonly refusal: SessionRefusal;
   readonly member?: string | undefined;
-  readonly cause?: 'member-full' | 'other';
+  readonly cause?: 'connection-limit' | 'other';
 }
 
-type Placement = Result<PlacedAnswer, FailedPlacement>;
+type AttemptResult = Result<PlacedAnswer, FailedAttempt>;
 
 /**
- * Runs a statement, or the first statement of a transaction, on a member. It
- * is tried on further members as long as nothing of it can have been kept.
+ * Runs a statement, or the first statement of a transaction, on a member. Tries
+ * further members as long as no earlier attempt can have had an effect.
  */
 export class PlaceFilter extends Filter<
   RoutedStatement,
@@ -59,7 +66,7 @@
 > {
   override readonly name = 'place';
 
-  constructor(private readonly tools: PlaceTools) {
+  constructor(private readonly deps: PlaceTools) {
     super();
   }
 
@@ -67,28 +74,32 @@
     statement: RoutedStatement,
   ): Promise<Result<PlacedAnswer, SessionRefusal>> {
     const avoid: string[] = [];
-    let last: FailedPlacement | undefined;
-    let full = 0;
-    for (let attempt = 1; attempt - full <= MAX_ATTEMPTS; attempt++) {
+    let failure: FailedAttempt | undefined;
+    let rejections = 0;
+    for (let attempt = 1; attempt - rejections <= MAX_ATTEMPTS; attempt++) {
       const placed = await this.attempt(statement, avoid);
       if (placed.ok) return placed;
-      last = placed.err;
-      this.logFailure(statement, last, attempt);
-      if (last.conclusion === 'final' || last.member === undefined) break;
-      if (this.tools.clock() >= statement.deadline - RUN_RESERVE_MS) break;
-      if (last.cause !== 'member-full') avoid.push(last.member);
-      else if (++full > MAX_FULL_ATTEMPTS) break;
+      failure = placed.err;
+      this.logFailure(statement, failure, attempt);
+      if (failure.conclusion === 'final' || failure.member === undefined) break;
+      if (this.deps.clock() >= statement.deadline - EXECUTION_RESERVE_MS) break;
+      if (failure.cause !== 'connection-limit') avoid.push(failure.member);
+      else if (++rejections > MAX_REJECTIONS) break;
     }
     return fail(
-      last?.refusal ?? {kind: 'busy', detail: 'no attempt', retryAfterMs: 50},
+      failure?.refusal ?? {
+        kind: 'busy',
+        detail: 'no attempt',
+        retryAfterMs: 50,
+      },
     );
   }
 
-  /** One attempt, and for a read that takes long a second one beside it. */
+  /** Makes one attempt; hedges a slow read with a second one in parallel. */
   private async attempt(
     statement: RoutedStatement,
     avoid: readonly string[],
-  ): Promise<Placement> {
+  ): Promise<AttemptResult> {
     const first = this.runOnce(statement, avoid);
     if (statement.access !== 'read' || statement.begin !== undefined) {
       return first.done;
@@ -103,55 +114,60 @@
     return firstSuccess(first.done, second.done);
   }
 
+  /**
+   * Checks out a connection and runs the statement. `member` returns the chosen
+   * member as soon as the checkout succeeds.
+   */
   private runOnce(
     statement: RoutedStatement,
     avoid: readonly string[],
-  ): {done: Promise<Placement>; member: () => string | undefined} {
+  ): {done: Promise<AttemptResult>; member: () => string | undefined} {
     let member: string | undefined;
-    const run = async (): Promise<Placement> => {
-      const database = this.tools.database(statement.route.group);
+    const run = async (): Promise<AttemptResult> => {
+      const database = this.deps.database(statement.route.group);
       if (!database) {
         return fail({
           conclusion: 'final',
           refusal: busy('the group is not known', 100),
         });
       }
-      const leased = await this.lease(database, statement, avoid);
-      if (!leased.ok) {
+      const checkedOut = await this.checkOut(database, statement, avoid);
+      if (!checkedOut.ok) {
         return fail({
           conclusion: 'final',
-          refusal: busy(leased.err.detail, leased.err.retryAfterMs),
+          refusal: busy(checkedOut.err.detail, checkedOut.err.retryAfterMs),
         });
       }
-      member = leased.value.member;
-      return this.execute(database, leased.value, statement);
+      member = checkedOut.value.member;
+      return this.execute(database, checkedOut.value, statement);
     };
     return {done: run(), member: () => member};
   }
 
-  private lease(
+  private checkOut(
     database: DatabaseTask,
     statement: RoutedStatement,
     avoid: readonly string[],
   ): Promise<Result<Lease, LeaseRefusal>> {
     const {route, workspace, values, regions, deadline} = statement;
-    const need = needOf(statement);
-    const now = this.tools.clock();
+    const requirement = requirementOf(statement);
+    const now = this.deps.clock();
     const waitMs = Math.max(
-      route.targetMs * LEASE_WAIT_SHARE,
-      need.kind === 'primary' ? MOVE_WAIT_MS : 0,
+      route.targetMs * CHECKOUT_WAIT_SHARE,
+      requirement.kind === 'primary' ? PRIMARY_CHANGE_WAIT_MS : 0,
     );
-    const until = Math.min(now + waitMs, deadline - RUN_RESERVE_MS);
+    const until = Math.min(now + waitMs, deadline - EXECUTION_RESERVE_MS);
     return ask(reply =>
       database.tell({
-        kind: 'lease',
+        kind: 'check-out',
         request: {
           workspace,
           values,
           use: statement.begin === undefined ? 'statement' : 'transaction',
-          need,
-          // The only primary is tried again after it refused.
-          avoid: need.kind === 'primary' && avoid.length <= 1 ? [] : avoid,
+          requirement,
+          // There is only one primary, so it gets a second attempt.
+          avoid:
+            requirement.kind === 'primary' && avoid.length <= 1 ? [] : avoid,
           regions,
           until,
         },
@@ -160,20 +176,24 @@
     );
   }
 
+  /**
+   * Runs the statement on a checked-out connection. A result counts only if the
+   * member still has the role of the checkout afterwards.
+   */
   private async execute(
     database: DatabaseTask,
-    lease: Lease,
+    checkout: Lease,
     statement: RoutedStatement,
-  ): Promise<Placement> {
+  ): Promise<AttemptResult> {
     const {id, command, prepared, begin, values, deadline} = statement;
-    const result = await ask<JobResult>(reply =>
-      lease.connection.tell({
+    const ran = await ask<JobResult>(reply =>
+      checkout.connection.tell({
         kind: 'run',
         job: {
           values,
           prepared,
           begin,
-          after: lease.after,
+          after: checkout.after,
           request: {id, command},
           deadline,
         },
@@ -181,41 +201,43 @@
       }),
     );
     const validity = await ask<LeaseValidity>(reply =>
-      database.tell({kind: 'confirm', lease, reply}),
+      database.tell({kind: 'confirm', checkout, reply}),
     );
-    const keep = begin !== undefined && result.ok;
-    if (!keep || validity === 'expired') this.release(database, lease, begin);
-    if (!result.ok) return this.failed(database, lease, statement, result.err);
+    const pin = begin !== undefined && ran.ok;
+    if (!pin || validity === 'expired') this.checkIn(database, checkout, begin);
+    if (!ran.ok) return this.failed(database, checkout, statement, ran.err);
     if (validity === 'expired') {
       const detail = 'the member may have been replaced meanwhile';
-      return this.failed(database, lease, statement, {
+      return this.failed(database, checkout, statement, {
         failure: 'no-answer',
         detail,
       });
     }
-    return ok({answer: result.value.answer, lease});
+    return ok({answer: ran.value.answer, checkout});
   }
 
-  private release(
+  /** Returns a connection; one with an open transaction is closed first. */
+  private checkIn(
     database: DatabaseTask,
-    lease: Lease,
+    checkout: Lease,
     begin: RoutedStatement['begin'],
   ): void {
-    if (begin !== undefined) lease.connection.tell({kind: 'close'});
-    database.tell({kind: 'release', lease});
+    if (begin !== undefined) checkout.connection.tell({kind: 'close'});
+    database.tell({kind: 'return', checkout});
   }
 
+  /** Reports a fault to the group's task and decides on a retry. */
   private failed(
     database: DatabaseTask,
-    lease: Lease,
+    checkout: Lease,
     statement: RoutedStatement,
     fault: JobFault,
-  ): Placement {
-    const {member} = lease;
+  ): AttemptResult {
+    const {member} = checkout;
     if (fault.failure === 'behind') {
       database.tell({kind: 'behind', member, applied: fault.applied});
     }
-    if (fault.failure === 'not-primary' && lease.role === 'primary') {
+    if (fault.failure === 'not-primary' && checkout.role === 'primary') {
       database.tell({kind: 'not-primary', member});
     }
     const {conclusion, refusal} = concludeFault(
@@ -224,16 +246,18 @@
       fault,
     );
     const cause =
-      fault.error?.kind === 'too-many-connections' ? 'member-full' : 'other';
+      fault.error?.kind === 'too-many-connections'
+        ? 'connection-limit'
+        : 'other';
     return fail({conclusion, refusal, member, cause});
   }
 
   private logFailure(
     statement: RoutedStatement,
-    {conclusion, refusal, member}: FailedPlacement,
+    {conclusion, refusal, member}: FailedAttempt,
     attempt: number,
   ): void {
-    this.tools.log.info(
+    this.deps.log.info(
       {
         event: 'statement.attempt-failed',
         request: statement.id,
@@ -242,9 +266,9 @@
         attempt,
         conclusion,
         refusal,
-        elapsedMs: Math.round(this.tools.clock() - statement.receivedAt),
+        elapsedMs: Math.round(this.deps.clock() - statement.receivedAt),
       },
-      'attempt failed',
+      'attempt to run a statement failed',
     );
   }
 }
@@ -255,7 +279,12 @@
   return begin === undefined ? 'write' : 'write-in-transaction';
 }
 
-function needOf({route, access, begin, seen}: RoutedStatement): LeaseNeed {
+function requirementOf({
+  route,
+  access,
+  begin,
+  seen,
+}: RoutedStatement): LeaseNeed {
   const isRead = begin === undefined ? access === 'read' : begin === 'read';
   if (!isRead || route.consistency === 'strict') return {kind: 'primary'};
   return {
@@ -265,11 +294,11 @@
   };
 }
 
-/** The first placement that succeeds, or else the last that fails. */
+/** Returns the first result that succeeds, or else the failure of `a`. */
 async function firstSuccess(
-  a: Promise<Placement>,
-  b: Promise<Placement>,
-): Promise<Placement> {
+  a: Promise<AttemptResult>,
+  b: Promise<AttemptResult>,
+): Promise<AttemptResult> {
   const first = await Promise.race([a, b]);
   if (first.ok) return first;
   const [one, two] = await Promise.all([a, b]);
--- a/packages/gateway/src/testing/fake_store.ts
+++ b/packages/gateway/src/testing/fake_store.ts
@@ -10,28 +10,33 @@
   TransactionAnswer,
 } from '@pistachiorill/store';
 
+/**
+ * How a fake store handles requests. `loses-answers` applies transactions but
+ * reports an unknown outcome.
+ */
 export type StoreMood = 'answers' | 'down' | 'loses-answers';
 
-/** A store in memory whose clock is 1,000 s ahead of the caller's. */
+/** An in-memory store whose clock is 1,000 s ahead of the caller's. */
 export class FakeStore extends TransactionalStore {
   readonly rows = new Map<string, TableRow>();
   version = 1;
-  /** Requests for changes that brought some. */
+  /** The number of `changes` requests that returned changes. */
   newsAnswered = 0;
   mood: StoreMood = 'answers';
   private readonly history: Array<{key: string; version: number}> = [];
-  private waiters: Array<() => void> = [];
+  private pendingPolls: Array<() => void> = [];
 
   constructor(private readonly clock: () => number) {
     super();
   }
 
+  /** Writes a row and completes pending `changes` requests. */
   put(key: string, value: object): void {
     this.version++;
     const row = {key, value: JSON.stringify(value), version: this.version};
     this.rows.set(key, row);
     this.history.push({key, version: this.version});
-    for (const wake of this.waiters.splice(0)) wake();
+    for (const wake of this.pendingPolls.splice(0)) wake();
   }
 
   override async readAll(): Promise<Result<TableAnswer, StoreReadError>> {
@@ -47,7 +52,7 @@
     if (this.version <= after) {
       await new Promise<void>(resolve => {
         const timer = setTimeout(resolve, Math.min(waitMs, 50));
-        this.waiters.push(() => {
+        this.pendingPolls.push(() => {
           clearTimeout(timer);
           resolve();
         });
@@ -77,7 +82,7 @@
       this.history.push({key, version: ++this.version});
     }
     for (const [key, value] of puts) this.put(key, JSON.parse(value));
-    for (const wake of this.waiters.splice(0)) wake();
+    for (const wake of this.pendingPolls.splice(0)) wake();
     if (this.mood === 'loses-answers') {
       return fail({kind: 'unknown-outcome', detail: 'lost'});
     }
