--- a/packages/entry/src/group/__tests__/connection_pool.test.ts
+++ b/packages/entry/src/group/__tests__/connection_pool.test.ts
@@ -3,11 +3,12 @@
 import {describe, expect, it} from 'vitest';
 import type {BackendTask} from '../../backend/backend_task.js';
 import {ConnectionPool} from '../connection_pool.js';
-import type {LeaseUse} from '../group_message.js';
+import type {CheckoutUse} from '../group_message.js';
 
-class Bench {
+/** Drives a pool with named requests and logs their outcomes. */
+class PoolHarness {
   readonly log: string[] = [];
-  private readonly lent = new Map<string, BackendTask>();
+  private readonly checkedOut = new Map<string, BackendTask>();
   private readonly pool: ConnectionPool;
 
   constructor(newQueue: () => QueuePolicy<never>) {
@@ -18,7 +19,7 @@
     );
   }
 
-  ask(name: string, use: LeaseUse, now: number, until = 10_000): void {
+  ask(name: string, use: CheckoutUse, now: number, until = 10_000): void {
     const workspace = name.charAt(0);
     this.pool.acquire(
       {
@@ -27,7 +28,7 @@
         until,
         reply: {
           answer: result => {
-            if (result.ok) this.lent.set(name, result.value);
+            if (result.ok) this.checkedOut.set(name, result.value);
             this.log.push(
               `${name} ${result.ok ? 'served' : result.err.detail}`,
             );
@@ -39,7 +40,7 @@
   }
 
   release(name: string, now: number): void {
-    this.pool.release(this.lent.get(name) as BackendTask, 'reuse', now);
+    this.pool.release(this.checkedOut.get(name) as BackendTask, 'reuse', now);
   }
 
   get transactions(): number {
@@ -48,31 +49,35 @@
 }
 
 describe('ConnectionPool', () => {
-  // Guards against statements that queue in the backend server, where a large
-  // workspace delays the others, and against waits that must fail anyway.
+  // Guards against statements that queue in the backend server, where a busy
+  // workspace delays the others, and against requests that wait although they
+  // cannot get a connection before their deadline.
   it.each([
     ['deficit round robin', () => new DeficitRoundRobinPolicy<never>(9)],
     ['fifo', () => new FifoPolicy<never>(9)],
-  ])('limits statements to the slots: %s', (unusedName, newQueue) => {
-    const bench = new Bench(newQueue);
-    for (let i = 1; i <= 4; i++) bench.ask(`a${i}`, 'statement', 0);
-    bench.ask('b1', 'statement', 0);
-    bench.ask('c1', 'transaction', 0);
-    bench.release('a1', 100);
-    bench.release('a2', 100);
-    bench.ask('b2', 'statement', 100, 120);
-    expect(bench.log).toMatchSnapshot();
-  });
+  ])(
+    'limits checkouts for statements to the slots: %s',
+    (unusedName, newQueue) => {
+      const harness = new PoolHarness(newQueue);
+      for (let i = 1; i <= 4; i++) harness.ask(`a${i}`, 'statement', 0);
+      harness.ask('b1', 'statement', 0);
+      harness.ask('c1', 'transaction', 0);
+      harness.release('a1', 100);
+      harness.release('a2', 100);
+      harness.ask('b2', 'statement', 100, 120);
+      expect(harness.log).toMatchSnapshot();
+    },
+  );
 
-  // Guards against a planned move that cuts a transaction, and against one that
-  // waits for statements that are not part of any.
+  // Guards against a switchover that interrupts an open transaction, and
+  // against one that waits for autocommit statements.
   it('counts the open transactions', () => {
-    const bench = new Bench(() => new FifoPolicy<never>(9));
-    bench.ask('a1', 'statement', 0);
-    bench.ask('a2', 'transaction', 0);
-    bench.ask('b1', 'transaction', 0);
-    const open = bench.transactions;
-    bench.release('a2', 100);
-    expect([open, bench.transactions]).toMatchSnapshot();
+    const harness = new PoolHarness(() => new FifoPolicy<never>(9));
+    harness.ask('a1', 'statement', 0);
+    harness.ask('a2', 'transaction', 0);
+    harness.ask('b1', 'transaction', 0);
+    const open = harness.transactions;
+    harness.release('a2', 100);
+    expect([open, harness.transactions]).toMatchSnapshot();
   });
 });
--- a/packages/entry/src/group/__tests__/group_task.test.ts
+++ b/packages/entry/src/group/__tests__/group_task.test.ts
@@ -6,7 +6,7 @@
 import type {GroupObservation} from '../group_message.js';
 import {GroupTask} from '../group_task.js';
 
-/** What each member answers to a poll, by address. */
+/** The state that each member reports to a poll, by address. */
 const states = vi.hoisted(() => new Map<string, unknown>());
 
 vi.mock('@pistachiorill/mysql', async original => ({
@@ -49,10 +49,10 @@
 beforeEach(() => vi.useFakeTimers());
 afterEach(() => vi.useRealTimers());
 
-// Guards against writes that fail in a planned move before their deadline,
-// against writes that reach the leaving primary after the move may start, and
-// against a VM that reports statements it no longer runs.
-it('holds writes while the primary moves', async () => {
+// Guards against writes that fail before their deadline during a switchover,
+// against writes that reach the leaving primary after the switchover may start,
+// and against a VM that reports statements that have ended as running.
+it('holds writes back during a switchover', async () => {
   const log: string[] = [];
   const startedAt = Date.now();
   const clock = (): number => Date.now() - startedAt;
@@ -91,11 +91,11 @@
     });
   };
   const observe = async (): Promise<void> => {
-    const seen = ask<GroupObservation>(reply =>
+    const observation = ask<GroupObservation>(reply =>
       group.tell({kind: 'observe', reply}),
     );
     await vi.advanceTimersByTimeAsync(0);
-    note(`running ${(await seen).running}`);
+    note(`running ${(await observation).running}`);
   };
   const configure = (state: BackendServer['state']): void => {
     const others = ['m2', 'm3'].map(name => server(name, 'in-service'));
--- a/packages/entry/src/group/__tests__/log_end.test.ts
+++ b/packages/entry/src/group/__tests__/log_end.test.ts
@@ -9,8 +9,8 @@
 ];
 
 describe('decodeLogEnd', () => {
-  // Guards against a write that is acknowledged although its primary was
-  // replaced and dropped it before the position was read.
+  // Guards against acknowledging a write that was lost because its primary was
+  // replaced, and dropped it, before the log position was read.
   it.each(CASES)('%s', (unusedName, row) => {
     const result = {
       kind: 'rows' as const,
--- a/packages/entry/src/group/__tests__/retry_filter.test.ts
+++ b/packages/entry/src/group/__tests__/retry_filter.test.ts
@@ -16,8 +16,8 @@
   detail: 'lock wait timeout',
 };
 
-/** Runs attempts that end as given; the last one is not repeated. */
-async function outcome(
+/** Runs attempts that fail with the given refusals and stops after the last. */
+async function outcomeOf(
   refusals: readonly Refusal[],
   changesData: boolean,
 ): Promise<unknown> {
@@ -48,8 +48,8 @@
   return result.ok ? 'ok' : result.err.kind;
 }
 
-// Guards against a refusal that says "not run" or "failed" although an earlier
-// attempt of the same write may have taken effect.
+// Guards against reporting a write as "not run" or "failed" although an earlier
+// attempt of it may have taken effect.
 describe('RetryFilter', () => {
   it.each([
     ['refused once', [NOT_RUN], true],
@@ -60,6 +60,6 @@
     ['not run, then failed', [NOT_RUN, FAILED], true],
     ['a read: unknown, then not run', [UNKNOWN, NOT_RUN], false],
   ] as const)('%s', async (unusedName, refusals, changesData) => {
-    expect(await outcome(refusals, changesData)).toMatchSnapshot();
+    expect(await outcomeOf(refusals, changesData)).toMatchSnapshot();
   });
 });
--- a/packages/entry/src/group/__tests__/withdrawal.test.ts
+++ b/packages/entry/src/group/__tests__/withdrawal.test.ts
@@ -12,9 +12,9 @@
   return {backendServer: name, tell} as unknown as BackendTask;
 }
 
-// Guards against new statements on a member that leaves, against connections
-// to it that stay open, and against statements that wait there until they fail.
-it('drains the pool of a member and takes it up again', () => {
+// Guards against new statements on a leaving member, against connections to it
+// that stay open, and against statements that wait for it until their deadline.
+it('drains the pool of a leaving member and opens it again', () => {
   const log: string[] = [];
   let opened = 0;
   const limits = {connections: 2, slots: 2};
@@ -26,7 +26,7 @@
       return fakeBackend(`connection-${opened}`, log);
     },
   );
-  const lent: BackendTask[] = [];
+  const checkedOut: BackendTask[] = [];
   const acquire = (name: string): void =>
     pool.acquire(
       {
@@ -35,7 +35,7 @@
         until: 1_000,
         reply: {
           answer: result => {
-            if (result.ok) lent.push(result.value);
+            if (result.ok) checkedOut.push(result.value);
             log.push(`${name} ${result.ok ? 'served' : result.err.kind}`);
           },
         },
@@ -45,14 +45,14 @@
   for (const name of ['first', 'second', 'third']) acquire(name);
   pool.drain();
   acquire('fourth');
-  for (const backend of lent) pool.release(backend, 'reuse', 0);
+  for (const backend of checkedOut) pool.release(backend, 'reuse', 0);
   pool.setLimits(limits, 0);
   acquire('fifth');
   expect(log).toMatchSnapshot();
 });
 
-// Guards against a statement that starts after its key was withdrawn.
-it('does not send a statement whose key was withdrawn while it waited', async () => {
+// Guards against executing a statement after its key was revoked.
+it('does not send a statement whose key was revoked while it waited', async () => {
   const log: string[] = [];
   const backend = fakeBackend('connection', log);
   let granted = true;
--- a/packages/entry/src/group/acquire_filter.ts
+++ b/packages/entry/src/group/acquire_filter.ts
@@ -2,28 +2,28 @@
 import type {Refusal, Result} from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
 import type {BackendTask} from '../backend/backend_task.js';
-import type {ChosenStatement, LeasedStatement} from './attempt.js';
-import type {LeaseUse} from './group_message.js';
+import type {ChosenStatement, StatementCheckout} from './attempt.js';
+import type {CheckoutUse} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 
-/** Waits in the fair queue for a connection to the chosen member. */
+/** Checks out a connection to the chosen member; waits in the fair queue. */
 export class AcquireFilter extends Filter<
   ChosenStatement,
-  LeasedStatement,
+  StatementCheckout,
   Refusal
 > {
   override readonly name = 'acquire';
 
   constructor(
     private readonly group: GroupTask,
-    private readonly use: LeaseUse,
+    private readonly use: CheckoutUse,
   ) {
     super();
   }
 
   override async run(
     chosen: ChosenStatement,
-  ): Promise<Result<LeasedStatement, Refusal>> {
+  ): Promise<Result<StatementCheckout, Refusal>> {
     const {statement, member} = chosen;
     const {caller, deadline} = statement;
     const backend = await ask<Result<BackendTask, Refusal>>(reply =>
--- a/packages/entry/src/group/backend_call.ts
+++ b/packages/entry/src/group/backend_call.ts
@@ -4,9 +4,10 @@
 import type {Clock} from '@pistachiorill/tasks';
 import type {BackendTask} from '../backend/backend_task.js';
 
+/** The result of one SQL command on a backend connection. */
 export type BackendResult = Result<StatementResult, BackendError>;
 
-/** Sends one statement on a connection and waits until the deadline. */
+/** Sends one SQL command on a connection and waits until the deadline. */
 export function callBackend(
   backend: BackendTask,
   sql: string,
--- a/packages/entry/src/group/choice_queue.ts
+++ b/packages/entry/src/group/choice_queue.ts
@@ -11,28 +11,29 @@
 import type {Reply} from '@pistachiorill/tasks';
 import type {ChosenMember} from './group_message.js';
 
-const MAX_WAITING = 2_000;
+/** Limits the statements of one group that wait for a member. */
+const MAX_WAITING_STATEMENTS = 2_000;
 
-/** A statement that needs a member. */
-export interface ChoiceWaiter {
+/** A statement that waits until a member is chosen for it. */
+export interface PendingChoice {
   readonly request: Omit<MemberRequest, 'avoid'>;
   readonly until: number;
   readonly reply: Reply<Result<ChosenMember, Refusal>>;
 }
 
-/** What is known of a group when members are chosen. */
-export interface ChoiceSituation {
+/** The state of a group on which the choice of a member depends. */
+export interface ChoiceContext {
   readonly view: GroupView;
   readonly freshness: FreshnessLog;
-  /** Members that are avoided because their connections failed. */
+  /** Members to avoid because their connections failed. */
   readonly avoid: readonly string[];
-  /** How long the oldest write that is not confirmed has waited. */
+  /** How long the oldest unconfirmed write has waited for its proof. */
   readonly confirmationDelayMs: number;
 }
 
-/** The statements that wait for a member. It belongs to the group's task. */
-export class ChoiceQueue {
-  private waiters: ChoiceWaiter[] = [];
+/** Holds the statements that wait for a member. Owned by the `GroupTask`. */
+export class MemberChoiceQueue {
+  private waiters: PendingChoice[] = [];
 
   constructor(
     private readonly policy: ReadPolicy,
@@ -43,9 +44,12 @@
     return this.waiters.length;
   }
 
-  /** Adds a statement, or refuses it when it would wait in vain. */
-  add(waiter: ChoiceWaiter, situation: ChoiceSituation, now: number): void {
-    const detail = this.overloadReason(waiter, situation, now);
+  /**
+   * Adds a statement. Refuses it as overloaded if the queue is full or if it is
+   * a write that could not be confirmed before its deadline.
+   */
+  add(waiter: PendingChoice, context: ChoiceContext, now: number): void {
+    const detail = this.overloadDetail(waiter, context, now);
     if (detail === undefined) {
       this.waiters.push(waiter);
     } else {
@@ -53,9 +57,9 @@
     }
   }
 
-  /** Answers the statements that have a member or have waited too long. */
-  decide(situation: ChoiceSituation, now: number): void {
-    const {view, freshness, avoid} = situation;
+  /** Answers the statements that now have a member or whose wait is over. */
+  answerReady(context: ChoiceContext, now: number): void {
+    const {view, freshness, avoid} = context;
     this.waiters = this.waiters.filter(waiter => {
       const choice = this.policy.choose(
         {...waiter.request, avoid},
@@ -78,12 +82,12 @@
     });
   }
 
-  private overloadReason(
-    waiter: ChoiceWaiter,
-    {confirmationDelayMs: delayMs}: ChoiceSituation,
+  private overloadDetail(
+    waiter: PendingChoice,
+    {confirmationDelayMs: delayMs}: ChoiceContext,
     now: number,
   ): string | undefined {
-    if (this.waiters.length >= MAX_WAITING) {
+    if (this.waiters.length >= MAX_WAITING_STATEMENTS) {
       return `${this.waiters.length} statements already wait for a member`;
     }
     const isWrite = waiter.request.access === 'write';
--- a/packages/entry/src/group/choose_member_filter.ts
+++ b/packages/entry/src/group/choose_member_filter.ts
@@ -5,10 +5,10 @@
 import type {ChosenMember} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 
-/** How long a read waits for a replica before it takes the primary. */
-const READ_WAIT_MS = 50;
+/** How long a read waits for a suitable replica before it uses the primary. */
+const REPLICA_WAIT_MS = 50;
 
-/** Waits until a member can execute the statement. */
+/** Waits until the read policy chooses a member for the statement. */
 export class ChooseMemberFilter extends Filter<
   RoutedStatement,
   ChosenStatement,
@@ -30,7 +30,7 @@
           access: statement.changesData ? 'write' : statement.route.access,
           maxAgeMs: statement.maxAgeMs,
           requirement: statement.requirement,
-          replicaWaitUntil: statement.receivedAt + READ_WAIT_MS,
+          replicaWaitUntil: statement.receivedAt + REPLICA_WAIT_MS,
         },
         until: statement.deadline,
         reply,
--- a/packages/entry/src/group/confirm_filter.ts
+++ b/packages/entry/src/group/confirm_filter.ts
@@ -8,10 +8,14 @@
 import {ask} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
 import type {ExecutedStatement} from './attempt.js';
-import type {Proof, ProofOutcome} from './group_message.js';
+import type {QuorumProof, ProofOutcome} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 
-/** Waits for the proof that a statement needs before it is answered. */
+/**
+ * Delays the reply until the quorum proof that the statement needs is given: a
+ * write must be acknowledged as its route requires, and a read on the primary
+ * must come from a primary that was not replaced.
+ */
 export class ConfirmFilter extends Filter<
   ExecutedStatement,
   StatementReply,
@@ -36,7 +40,7 @@
       const outcome = await ask<ProofOutcome>(reply =>
         this.group.tell({kind: 'prove', proof, until, reply}),
       );
-      if (outcome === 'expired') return fail(unproven(executed));
+      if (outcome === 'expired') return fail(unprovenRefusal(executed));
     }
     const {statement, member, result, entry} = executed;
     return ok({
@@ -48,7 +52,7 @@
     });
   }
 
-  private proofFor(executed: ExecutedStatement): Proof | undefined {
+  private proofFor(executed: ExecutedStatement): QuorumProof | undefined {
     const {statement, member, entry} = executed;
     if (entry) {
       const required = this.acknowledgement.proofFor(statement.route);
@@ -66,7 +70,7 @@
   }
 }
 
-function unproven(executed: ExecutedStatement): Refusal {
+function unprovenRefusal(executed: ExecutedStatement): Refusal {
   return executed.entry
     ? {
         kind: 'outcome-unknown',
--- a/packages/entry/src/group/connection_pool.ts
+++ b/packages/entry/src/group/connection_pool.ts
@@ -7,124 +7,143 @@
 } from '@pistachiorill/core';
 import type {Reply} from '@pistachiorill/tasks';
 import type {BackendTask} from '../backend/backend_task.js';
-import type {LeaseUse, Reuse} from './group_message.js';
+import type {CheckoutUse, Reuse} from './group_message.js';
 
-interface Waiter {
+/** A request for a connection. */
+interface CheckoutRequest {
   readonly workspace: string;
-  readonly use: LeaseUse;
+  readonly use: CheckoutUse;
+  /** Time at which the request is refused if no connection became free. */
   readonly until: number;
   readonly reply: Reply<Result<BackendTask, Refusal>>;
 }
 
-interface Held {
-  readonly use: LeaseUse;
+/** What a connection is checked out for, and since when. */
+interface Checkout {
+  readonly use: CheckoutUse;
   readonly since: number;
 }
 
-/** What a pool may use of its member. */
+/** The part of a member's capacity that a pool may use. */
 export interface PoolLimits {
-  /** The connections that this VM may open. */
+  /** The number of connections that this VM may open. */
   readonly connections: number;
-  /** The statements that the member executes at a time. */
+  /** The number of statements that the member executes at a time. */
   readonly slots: number;
 }
 
-type QueuedReply = Reply<Result<BackendTask, Refusal>>;
+type CheckoutReply = Reply<Result<BackendTask, Refusal>>;
 
-/** One queue with the estimate of how fast it is served. */
-interface Lane {
-  readonly queue: QueuePolicy<QueuedReply>;
+/** Requests of one kind that wait, and the estimated time of a checkout. */
+interface CheckoutQueue {
+  readonly queue: QueuePolicy<CheckoutReply>;
   service: ServiceEstimate;
 }
 
 /**
- * The data connections of one VM to one member, with the statements that wait
- * for one. It belongs to the group's task. Statements in flight are limited to
- * the member's slots, so that they wait here, where the queue is fair, and not
- * in the backend server. A transaction holds its connection also between its
- * statements, so it takes no slot; only the connections limit transactions.
+ * Pools the data connections of this VM to one member and queues the requests
+ * for them. Owned by the `GroupTask`. Checkouts for autocommit statements are
+ * limited to the member's slots, so that statements wait here, where the queue
+ * is fair, and not in the backend server. A transaction keeps its connection
+ * between its statements, so it takes no slot; transactions are limited only
+ * by the number of connections.
  */
 export class ConnectionPool {
   private readonly idle: BackendTask[] = [];
-  private readonly used = new Map<BackendTask, Held>();
-  private readonly lanes: Readonly<Record<LeaseUse, Lane>>;
-  private turn: LeaseUse = 'statement';
+  private readonly checkouts = new Map<BackendTask, Checkout>();
+  private readonly queues: Readonly<Record<CheckoutUse, CheckoutQueue>>;
+  /** The queue to serve first; alternates after each checkout. */
+  private nextUse: CheckoutUse = 'statement';
   private state: 'open' | 'draining' = 'open';
 
   constructor(
     private limits: PoolLimits,
-    newQueue: () => QueuePolicy<QueuedReply>,
+    newQueue: () => QueuePolicy<CheckoutReply>,
     private readonly open: () => BackendTask,
   ) {
-    this.lanes = {
+    this.queues = {
       statement: {queue: newQueue(), service: {meanMs: 0}},
       transaction: {queue: newQueue(), service: {meanMs: 0}},
     };
   }
 
-  /** The number of statements and transactions, with those that wait. */
-  get inUse(): number {
-    return this.used.size + this.waiting;
+  /** The number of checkouts and of requests that wait for a connection. */
+  get activeOrWaiting(): number {
+    return this.checkouts.size + this.waiting;
   }
 
-  /** The number of statements and transactions that wait for a connection. */
+  /** The number of requests that wait for a connection. */
   get waiting(): number {
-    const {statement, transaction} = this.lanes;
+    const {statement, transaction} = this.queues;
     return statement.queue.size + transaction.queue.size;
   }
 
   /** The number of transactions that hold a connection. */
   get transactions(): number {
-    return this.count('transaction');
+    return this.checkoutsFor('transaction');
   }
 
-  /** Closes idle connections that the new limits do not cover. */
+  /**
+   * Sets new limits and closes idle connections that exceed them. Opens a
+   * draining pool again.
+   */
   setLimits(limits: PoolLimits, now: number): void {
     this.state = 'open';
     this.limits = limits;
     while (
       this.idle.length > 0 &&
-      this.idle.length + this.used.size > limits.connections
+      this.idle.length + this.checkouts.size > limits.connections
     ) {
       this.idle.pop()?.tell({kind: 'close'});
     }
     this.serve(now);
   }
 
-  acquire(waiter: Waiter, now: number): void {
-    const {use, workspace, until, reply} = waiter;
+  /**
+   * Answers the request with a connection once one is free. Refuses it as
+   * overloaded if the expected wait exceeds its time limit or the queue of its
+   * workspace is full.
+   */
+  acquire(request: CheckoutRequest, now: number): void {
+    const {use, workspace, until, reply} = request;
     if (this.state === 'draining') {
       const detail = 'the member takes no new statements';
       reply.answer(fail({kind: 'no-member', detail}));
       return;
     }
-    const {queue, service} = this.lanes[use];
-    if (!this.mayServe(use) || queue.size > 0) {
+    const {queue, service} = this.queues[use];
+    if (!this.canCheckOut(use) || queue.size > 0) {
       const wait = expectedWaitMs(
         service,
         queue.entriesAhead(workspace),
-        this.places(use),
+        this.maxCheckouts(use),
       );
       if (now + wait > until) {
-        refuse(reply, `the expected wait is ${Math.ceil(wait)} ms`);
+        refuseOverloaded(reply, `the expected wait is ${Math.ceil(wait)} ms`);
         return;
       }
     }
     if (queue.enqueue({workspace, until, item: reply}) === 'full') {
-      refuse(reply, 'too many statements of the workspace are waiting');
+      refuseOverloaded(
+        reply,
+        'too many statements of the workspace are waiting',
+      );
       return;
     }
     this.serve(now);
   }
 
-  /** Returns whether the connection belongs to this pool. */
+  /**
+   * Takes back a connection. Returns false if it was not checked out from this
+   * pool.
+   */
   release(backend: BackendTask, reuse: Reuse, now: number): boolean {
-    const held = this.used.get(backend);
-    if (!held) return false;
-    this.used.delete(backend);
-    const lane = this.lanes[held.use];
-    lane.service = afterService(lane.service, now - held.since);
-    if (reuse === 'reuse' && this.used.size < this.limits.connections) {
+    const checkout = this.checkouts.get(backend);
+    if (!checkout) return false;
+    this.checkouts.delete(backend);
+    const queue = this.queues[checkout.use];
+    queue.service = afterService(queue.service, now - checkout.since);
+    if (reuse === 'reuse' && this.checkouts.size < this.limits.connections) {
       this.idle.push(backend);
     } else {
       backend.tell({kind: 'close'});
@@ -134,30 +153,31 @@
   }
 
   /**
-   * Ends the statements under way and those that wait, because the member was
-   * replaced as primary and may never answer them.
+   * Closes all connections and refuses all waiting requests, because the member
+   * was replaced as primary and may never answer. Closing a connection ends the
+   * statement that runs on it.
    */
   abandon(): void {
-    for (const backend of [...this.idle, ...this.used.keys()]) {
+    for (const backend of [...this.idle, ...this.checkouts.keys()]) {
       backend.tell({kind: 'close'});
     }
     this.idle.length = 0;
     this.refuseAll('the primary was replaced');
   }
 
-  /** Refuses the statements whose wait has ended. */
-  expire(now: number): void {
-    for (const {queue} of Object.values(this.lanes)) {
+  /** Refuses the requests whose time limit has passed. */
+  refuseExpired(now: number): void {
+    for (const {queue} of Object.values(this.queues)) {
       for (const entry of queue.removeExpired(now)) {
-        refuse(entry.item, 'no connection became free in time');
+        refuseOverloaded(entry.item, 'no connection became free in time');
       }
     }
   }
 
   /**
-   * Takes no new statements until `setLimits` is called. Connections in use
-   * close on their release. Waiting statements are refused as not run, since
-   * another member may take them.
+   * Refuses new requests until `setLimits` is called. Checked-out connections
+   * are closed when they are returned. Waiting requests are refused as not run,
+   * since another member may serve them.
    */
   drain(): void {
     this.state = 'draining';
@@ -168,60 +188,61 @@
   }
 
   private refuseAll(detail: string): void {
-    for (const {queue} of Object.values(this.lanes)) {
+    for (const {queue} of Object.values(this.queues)) {
       for (const entry of queue.removeExpired(Infinity)) {
         entry.item.answer(fail({kind: 'no-member', detail}));
       }
     }
   }
 
-  /** Skips connections that the backend server closed meanwhile. */
+  /** Takes an idle connection; skips those the backend server has closed. */
   private takeIdle(): BackendTask | undefined {
     let backend = this.idle.pop();
     while (backend && !backend.usable) backend = this.idle.pop();
     return backend;
   }
 
+  /** Checks out connections to waiting requests, in turn from both queues. */
   private serve(now: number): void {
-    this.expire(now);
+    this.refuseExpired(now);
     for (;;) {
-      const other = otherUse(this.turn);
-      const use = [this.turn, other].find(
-        item => this.lanes[item].queue.size > 0 && this.mayServe(item),
+      const other = otherUse(this.nextUse);
+      const use = [this.nextUse, other].find(
+        item => this.queues[item].queue.size > 0 && this.canCheckOut(item),
       );
       if (use === undefined) return;
-      this.turn = otherUse(use);
-      const entry = this.lanes[use].queue.dequeue();
+      this.nextUse = otherUse(use);
+      const entry = this.queues[use].queue.dequeue();
       if (!entry) return;
       const backend = this.takeIdle() ?? this.open();
-      this.used.set(backend, {use, since: now});
+      this.checkouts.set(backend, {use, since: now});
       entry.item.answer(ok(backend));
     }
   }
 
-  private mayServe(use: LeaseUse): boolean {
-    if (this.used.size >= this.limits.connections) return false;
-    return use === 'transaction' || this.count(use) < this.limits.slots;
+  private canCheckOut(use: CheckoutUse): boolean {
+    if (this.checkouts.size >= this.limits.connections) return false;
+    return use === 'transaction' || this.checkoutsFor(use) < this.limits.slots;
   }
 
-  /** How many leases of the kind can be held at a time. */
-  private places(use: LeaseUse): number {
-    const free = this.limits.connections - this.count(otherUse(use));
+  /** The number of checkouts of this kind that are possible at a time. */
+  private maxCheckouts(use: CheckoutUse): number {
+    const free = this.limits.connections - this.checkoutsFor(otherUse(use));
     const limit = use === 'statement' ? this.limits.slots : Infinity;
     return Math.max(1, Math.min(free, limit));
   }
 
-  private count(use: LeaseUse): number {
+  private checkoutsFor(use: CheckoutUse): number {
     let count = 0;
-    for (const held of this.used.values()) if (held.use === use) count++;
+    for (const item of this.checkouts.values()) if (item.use === use) count++;
     return count;
   }
 }
 
-function otherUse(use: LeaseUse): LeaseUse {
+function otherUse(use: CheckoutUse): CheckoutUse {
   return use === 'statement' ? 'transaction' : 'statement';
 }
 
-function refuse(reply: QueuedReply, detail: string): void {
+function refuseOverloaded(reply: CheckoutReply, detail: string): void {
   reply.answer(fail({kind: 'overloaded', detail}));
 }
--- a/packages/entry/src/group/group_executor.ts
+++ b/packages/entry/src/group/group_executor.ts
@@ -7,13 +7,15 @@
 
 /** An open transaction of one caller. */
 export abstract class TransactionHandle {
+  /** Executes a statement in the transaction. */
   abstract execute(
     statement: RoutedStatement,
   ): Promise<Result<StatementReply, Refusal>>;
 
+  /** Commits and waits for the confirmation until the deadline. */
   abstract commit(deadline: number): Promise<Result<StatementReply, Refusal>>;
 
-  /** Rolls back. Safe to call at any time, also after an error. */
+  /** Rolls back. May be called at any time, also after an error. */
   abstract rollback(): Promise<void>;
 }
 
@@ -22,10 +24,15 @@
  * connections or through the VM that owns the group.
  */
 export abstract class GroupExecutor {
+  /** Executes an autocommit statement. */
   abstract execute(
     statement: RoutedStatement,
   ): Promise<Result<StatementReply, Refusal>>;
 
+  /**
+   * Opens a transaction. The statement supplies the caller, the database and
+   * the deadline; it is not executed.
+   */
   abstract begin(
     statement: RoutedStatement,
   ): Promise<Result<TransactionHandle, Refusal>>;
--- a/packages/entry/src/group/group_message.ts
+++ b/packages/entry/src/group/group_message.ts
@@ -20,37 +20,45 @@
 /** A member that was chosen for a statement. */
 export type ChosenMember = Extract<MemberChoice, {kind: 'use'}>;
 
-/** What must be proven before a statement is answered. */
-export type Proof =
-  /** A majority received the entry in its term. */
+/**
+ * A condition that a majority of the group must meet before a statement is
+ * answered.
+ */
+export type QuorumProof =
+  /** A majority has received the log entry in its term. */
   | {readonly kind: 'held'; readonly entry: LogPosition}
-  /** A majority polled since then was not fenced above the term. */
+  /**
+   * Polls sent since the given time show a majority that is not fenced above
+   * the term, so that no later primary existed at that time.
+   */
   | {
       readonly kind: 'unfenced';
       readonly term: number;
       readonly since: number;
     };
 
+/** Whether the proof was completed before its time limit. */
 export type ProofOutcome = 'proven' | 'expired';
 
-/** Whether a connection may serve another statement after its release. */
+/** Whether a connection may serve further statements after its return. */
 export type Reuse = 'reuse' | 'close';
 
-/** What a connection is leased for. */
-export type LeaseUse = 'statement' | 'transaction';
+/** What a connection is checked out for. */
+export type CheckoutUse = 'statement' | 'transaction';
 
-/** What failover decisions need to know of a group. */
+/** The state of a group that failover decisions use. */
 export interface GroupObservation {
   readonly view: GroupView;
   /**
-   * Statements and transactions of this VM on the primary, and one more while
-   * it accepts new ones.
+   * Statements and transactions of this VM that run or wait on the primary,
+   * plus one while the primary accepts new ones.
    */
   readonly running: number;
-  /** The open transactions among them. */
+  /** The number of open transactions among them. */
   readonly transactions: number;
 }
 
+/** Messages that a `GroupTask` handles. */
 export type GroupMessage =
   | {readonly kind: 'polled'; readonly poll: PollReply}
   | {
@@ -67,7 +75,7 @@
       readonly kind: 'acquire';
       readonly backendServer: string;
       readonly workspace: string;
-      readonly use: LeaseUse;
+      readonly use: CheckoutUse;
       readonly until: number;
       readonly reply: Reply<Result<BackendTask, Refusal>>;
     }
@@ -78,7 +86,7 @@
     }
   | {
       readonly kind: 'prove';
-      readonly proof: Proof;
+      readonly proof: QuorumProof;
       readonly until: number;
       readonly reply: Reply<ProofOutcome>;
     }
--- a/packages/entry/src/group/group_task.ts
+++ b/packages/entry/src/group/group_task.ts
@@ -24,46 +24,54 @@
 import {SqlGroupControl} from '@pistachiorill/mysql';
 import {Task} from '@pistachiorill/tasks';
 import {BackendTask} from '../backend/backend_task.js';
-import {ChoiceQueue} from './choice_queue.js';
-import type {ChoiceSituation, ChoiceWaiter} from './choice_queue.js';
+import {MemberChoiceQueue} from './choice_queue.js';
+import type {ChoiceContext, PendingChoice} from './choice_queue.js';
 import {ConnectionPool} from './connection_pool.js';
 import type {GroupMessage, GroupObservation, Reuse} from './group_message.js';
-import type {GroupTools} from './group_tools.js';
+import type {GroupDependencies} from './group_tools.js';
 import {MemberControlTask} from './member_control_task.js';
 import type {PollPace, PollReply} from './member_control_task.js';
-import {afterPoll, newMemberView} from './member_view_update.js';
+import {withPollReply, unpolledMemberView} from './member_view_update.js';
 import {ProofQueue} from './proof_queue.js';
 
+/** Time limit for one call on the control connection of a member. */
 const CONTROL_TIMEOUT_MS = 500;
-const TICK_MS = 20;
 
-/** The waiting statements of one workspace for one member. */
-const QUEUE_LIMIT = 200;
+/** Delay until the next check for expired deadlines while statements wait. */
+const TICK_DELAY_MS = 20;
 
-/** Owns one VM's view of a database group and its connections to it. */
+/** Limits the statements of one workspace that wait for one member. */
+const MAX_WAITING_PER_WORKSPACE = 200;
+
+/**
+ * Owns this VM's view of a database group, the connection pools to its
+ * members, and the statements that wait for a member, a connection or a
+ * quorum proof.
+ */
 export class GroupTask extends Task<GroupMessage> {
   private view: GroupView;
   private freshness: FreshnessLog = [];
+  /** The primary as of the last poll that showed one; empty before that. */
   private lastPrimary = '';
   private readonly pools = new Map<string, ConnectionPool>();
   private readonly addresses = new Map<string, string>();
-  private readonly controls = new Map<string, MemberControlTask>();
+  private readonly controlTasks = new Map<string, MemberControlTask>();
   private readonly health = new Map<string, MemberHealth>();
-  /** When each member that leaves was configured so. */
+  /** Time at which each leaving member was first configured as leaving. */
   private readonly leavingSince = new Map<string, number>();
-  private retries = INITIAL_RETRY_BUDGET;
-  private readonly choices: ChoiceQueue;
-  private readonly proofs = new ProofQueue();
-  private ticker: NodeJS.Timeout | undefined;
-  private pace: PollPace = 'idle';
+  private retryBudget = INITIAL_RETRY_BUDGET;
+  private readonly choiceQueue: MemberChoiceQueue;
+  private readonly proofQueue = new ProofQueue();
+  private tickTimer: NodeJS.Timeout | undefined;
+  private pollPace: PollPace = 'idle';
 
   constructor(
     database: string,
-    private readonly tools: GroupTools,
+    private readonly deps: GroupDependencies,
   ) {
     super();
     this.view = {database, members: []};
-    this.choices = new ChoiceQueue(tools.policy, tools.random);
+    this.choiceQueue = new MemberChoiceQueue(deps.policy, deps.random);
   }
 
   protected override handle(message: GroupMessage): void {
@@ -77,7 +85,7 @@
         this.configure(message.servers);
         return;
       case 'polled':
-        this.polled(message.poll);
+        this.applyPoll(message.poll);
         return;
       case 'choose':
         this.choose(message);
@@ -89,15 +97,15 @@
         this.release(message.backend, message.reuse);
         return;
       case 'request-started':
-        this.retries = earnRetry(this.retries);
+        this.retryBudget = earnRetry(this.retryBudget);
         return;
       case 'attempt-failed':
         message.reply.answer(this.decideRetry(message.attempt));
         return;
       case 'prove':
-        this.proofs.add({...message, since: this.tools.clock()});
-        this.decideProofs();
-        this.setPace();
+        this.proofQueue.add({...message, since: this.deps.clock()});
+        this.answerProofs();
+        this.updatePollPace();
         return;
       case 'view':
         message.reply.answer(this.view);
@@ -106,7 +114,7 @@
         message.reply.answer(this.observe());
         return;
       case 'control':
-        this.control(message);
+        this.callMember(message);
         return;
       case 'tick':
         this.tick();
@@ -118,19 +126,19 @@
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.onFault(err);
+    this.deps.onFault(err);
   }
 
   private configure(servers: readonly BackendServer[]): void {
-    const known = new Map(this.view.members.map(m => [m.backendServer, m]));
+    const previous = new Map(this.view.members.map(m => [m.backendServer, m]));
     this.view = {
       ...this.view,
       members: servers.map(server => ({
-        ...(known.get(server.name) ?? newMemberView(server)),
+        ...(previous.get(server.name) ?? unpolledMemberView(server)),
         accepting: true,
       })),
     };
-    const now = this.tools.clock();
+    const now = this.deps.clock();
     const since = new Map(this.leavingSince);
     this.leavingSince.clear();
     for (const {name, state} of servers) {
@@ -138,7 +146,7 @@
         this.leavingSince.set(name, since.get(name) ?? now);
       }
     }
-    this.holdLeaving(now);
+    this.updateAccepting(now);
     for (const [name, address] of this.addresses) {
       const kept = servers.some(
         server => server.name === name && server.address === address,
@@ -149,11 +157,11 @@
   }
 
   /**
-   * Sends nothing new to members that leave. A primary that leaves gets writes
-   * until the planned move may start, since holding them earlier only makes
-   * the callers wait.
+   * Stops routing new statements to leaving members. A leaving primary accepts
+   * writes until the switchover may start, since holding them back earlier
+   * only makes callers wait.
    */
-  private holdLeaving(now: number): void {
+  private updateAccepting(now: number): void {
     const allAccept = this.view.members.every(member => member.accepting);
     if (this.leavingSince.size === 0 && allAccept) return;
     const primary = currentPrimary(this.view)?.backendServer;
@@ -174,17 +182,17 @@
   }
 
   private connect(server: BackendServer): void {
-    const {credentials, clock, allowanceOf, onFault} = this.tools;
+    const {credentials, clock, allowanceOf, onFault} = this.deps;
     const limits = {connections: allowanceOf(server), slots: server.slots};
-    const known = this.pools.get(server.name);
+    const existing = this.pools.get(server.name);
     const pool =
-      known ??
+      existing ??
       new ConnectionPool(
         limits,
         () =>
-          this.tools.queue === 'arrival-order'
-            ? new FifoPolicy(QUEUE_LIMIT)
-            : new DeficitRoundRobinPolicy(QUEUE_LIMIT),
+          this.deps.queue === 'arrival-order'
+            ? new FifoPolicy(MAX_WAITING_PER_WORKSPACE)
+            : new DeficitRoundRobinPolicy(MAX_WAITING_PER_WORKSPACE),
         () =>
           new BackendTask(
             server.name,
@@ -198,8 +206,8 @@
     const member = this.view.members.find(m => m.backendServer === server.name);
     if (member?.accepting) pool.setLimits(limits, clock());
     else pool.drain();
-    if (known) return;
-    const control = new MemberControlTask(
+    if (existing) return;
+    const controlTask = new MemberControlTask(
       server.name,
       new SqlGroupControl(
         server.address,
@@ -210,33 +218,33 @@
       poll => this.tell({kind: 'polled', poll}),
       onFault,
     );
-    this.controls.set(server.name, control);
-    control.tell({kind: 'poll'});
-    control.tell({kind: 'pace', pace: this.pace});
+    this.controlTasks.set(server.name, controlTask);
+    controlTask.tell({kind: 'poll'});
+    controlTask.tell({kind: 'pace', pace: this.pollPace});
   }
 
   private disconnect(name: string): void {
     this.pools.get(name)?.drain();
     this.pools.delete(name);
     this.addresses.delete(name);
-    this.controls.get(name)?.tell({kind: 'close'});
-    this.controls.delete(name);
+    this.controlTasks.get(name)?.tell({kind: 'close'});
+    this.controlTasks.delete(name);
   }
 
-  private polled(poll: PollReply): void {
-    const now = this.tools.clock();
+  private applyPoll(poll: PollReply): void {
+    const now = this.deps.clock();
     this.view = {
       ...this.view,
       members: this.view.members.map(member =>
         member.backendServer === poll.backendServer
-          ? afterPoll(member, poll, now)
+          ? withPollReply(member, poll, now)
           : member,
       ),
     };
-    this.holdLeaving(now);
+    this.updateAccepting(now);
     const primary = currentPrimary(this.view);
     if (primary && primary.backendServer !== this.lastPrimary) {
-      this.releaseFormer();
+      this.abandonFormerPrimary();
       this.lastPrimary = primary.backendServer;
     }
     if (primary?.backendServer === poll.backendServer && primary.state) {
@@ -246,17 +254,17 @@
       });
     }
     this.freshness = proveSamples(this.freshness, this.view);
-    this.decideProofs();
-    this.decideChoices();
-    this.setPace();
+    this.answerProofs();
+    this.answerChoices();
+    this.updatePollPace();
   }
 
   /**
-   * Ends what runs on a former primary that does not answer. Its replacement
-   * means that no write there can be confirmed any more, so that waiting until
-   * the deadline would only hold up the callers.
+   * Aborts the statements on a former primary that is unreachable. Once it is
+   * replaced, no write on it can be confirmed any more, so waiting until the
+   * deadline would only delay the callers.
    */
-  private releaseFormer(): void {
+  private abandonFormerPrimary(): void {
     const former = this.view.members.find(
       member => member.backendServer === this.lastPrimary,
     );
@@ -264,35 +272,35 @@
     this.pools.get(former.backendServer)?.abandon();
   }
 
-  private choose(waiter: ChoiceWaiter): void {
-    this.choices.add(waiter, this.situation(), this.tools.clock());
-    this.decideChoices();
-    this.setPace();
+  private choose(waiter: PendingChoice): void {
+    this.choiceQueue.add(waiter, this.choiceContext(), this.deps.clock());
+    this.answerChoices();
+    this.updatePollPace();
   }
 
-  private decideChoices(): void {
-    this.choices.decide(this.situation(), this.tools.clock());
+  private answerChoices(): void {
+    this.choiceQueue.answerReady(this.choiceContext(), this.deps.clock());
   }
 
-  private decideProofs(): void {
-    this.proofs.decide(this.view, this.tools.clock());
+  private answerProofs(): void {
+    this.proofQueue.answerReady(this.view, this.deps.clock());
   }
 
-  private situation(): ChoiceSituation {
+  private choiceContext(): ChoiceContext {
     const {view, freshness, health} = this;
-    const now = this.tools.clock();
+    const now = this.deps.clock();
     return {
       view,
       freshness,
       avoid: ejectedMembers(health, view.members.length, now),
-      confirmationDelayMs: this.proofs.confirmationDelayMs(now),
+      confirmationDelayMs: this.proofQueue.confirmationDelayMs(now),
     };
   }
 
   private acquire(message: Extract<GroupMessage, {kind: 'acquire'}>): void {
     const pool = this.pools.get(message.backendServer);
     if (pool) {
-      pool.acquire(message, this.tools.clock());
+      pool.acquire(message, this.deps.clock());
       return;
     }
     message.reply.answer(
@@ -302,45 +310,46 @@
 
   private release(backend: BackendTask, reuse: Reuse): void {
     const name = backend.backendServer;
-    // A connection of a member that has left the group is of no more use.
-    const now = this.tools.clock();
-    const known = this.pools.get(name)?.release(backend, reuse, now) ?? false;
-    if (!known) backend.tell({kind: 'close'});
+    // A connection to a member that has left the group is closed.
+    const now = this.deps.clock();
+    const returned =
+      this.pools.get(name)?.release(backend, reuse, now) ?? false;
+    if (!returned) backend.tell({kind: 'close'});
     const outcome = reuse === 'reuse' ? 'answered' : 'transport-error';
     if (outcome === 'transport-error') {
-      this.controls.get(name)?.tell({kind: 'poll'});
+      this.controlTasks.get(name)?.tell({kind: 'poll'});
     }
     const before = this.health.get(name) ?? HEALTHY;
-    this.health.set(name, afterAttempt(before, outcome, this.tools.clock()));
+    this.health.set(name, afterAttempt(before, outcome, this.deps.clock()));
   }
 
   private decideRetry(attempt: FailedAttempt): RetryDecision {
-    const {random, clock} = this.tools;
-    const decision = decideRetry(attempt, this.retries, random, clock());
-    if (decision.kind === 'retry') this.retries = decision.budget;
+    const {random, clock} = this.deps;
+    const decision = decideRetry(attempt, this.retryBudget, random, clock());
+    if (decision.kind === 'retry') this.retryBudget = decision.budget;
     return decision;
   }
 
   private observe(): GroupObservation {
     const primary = currentPrimary(this.view);
     const pool = this.pools.get(primary?.backendServer ?? '');
-    const inUse = pool?.inUse ?? 0;
+    const activeOrWaiting = pool?.activeOrWaiting ?? 0;
     return {
       view: this.view,
-      running: primary?.accepting ? inUse + 1 : inUse,
+      running: primary?.accepting ? activeOrWaiting + 1 : activeOrWaiting,
       transactions: pool?.transactions ?? 0,
     };
   }
 
-  /** Passes a call on to a member and takes its answer as a poll. */
-  private control(message: Extract<GroupMessage, {kind: 'control'}>): void {
+  /** Forwards a control call to a member and applies its answer as a poll. */
+  private callMember(message: Extract<GroupMessage, {kind: 'control'}>): void {
     const {backendServer, call, reply} = message;
-    const task = this.controls.get(backendServer);
+    const task = this.controlTasks.get(backendServer);
     if (!task) {
       reply.answer(fail({kind: 'lost', detail: 'the member left the group'}));
       return;
     }
-    const sentAt = this.tools.clock();
+    const sentAt = this.deps.clock();
     task.tell({
       ...call,
       reply: {
@@ -353,40 +362,41 @@
     });
   }
 
-  /** Wakes the task for deadlines, which it has only while somebody waits. */
+  /** Schedules the next deadline check if any statement waits. */
   private scheduleTick(): void {
     const waiting =
-      this.choices.size > 0 ||
-      this.proofs.size > 0 ||
+      this.choiceQueue.size > 0 ||
+      this.proofQueue.size > 0 ||
       [...this.pools.values()].some(pool => pool.waiting > 0);
-    if (this.ticker || !waiting) return;
-    this.ticker = setTimeout(() => {
-      this.ticker = undefined;
+    if (this.tickTimer || !waiting) return;
+    this.tickTimer = setTimeout(() => {
+      this.tickTimer = undefined;
       this.tell({kind: 'tick'});
-    }, TICK_MS);
+    }, TICK_DELAY_MS);
   }
 
   private tick(): void {
-    const now = this.tools.clock();
-    this.holdLeaving(now);
-    for (const pool of this.pools.values()) pool.expire(now);
-    this.decideChoices();
-    this.decideProofs();
-    this.setPace();
+    const now = this.deps.clock();
+    this.updateAccepting(now);
+    for (const pool of this.pools.values()) pool.refuseExpired(now);
+    this.answerChoices();
+    this.answerProofs();
+    this.updatePollPace();
   }
 
-  private setPace(): void {
-    const waiting = this.choices.size > 0 ? 'waiting' : 'idle';
-    const pace = this.proofs.size > 0 ? 'urgent' : waiting;
-    if (pace === this.pace) return;
-    this.pace = pace;
-    for (const control of this.controls.values()) {
-      control.tell({kind: 'pace', pace});
+  /** Polls faster while statements wait for a member or a quorum proof. */
+  private updatePollPace(): void {
+    const waiting = this.choiceQueue.size > 0 ? 'waiting' : 'idle';
+    const pace = this.proofQueue.size > 0 ? 'urgent' : waiting;
+    if (pace === this.pollPace) return;
+    this.pollPace = pace;
+    for (const controlTask of this.controlTasks.values()) {
+      controlTask.tell({kind: 'pace', pace});
     }
   }
 
   private close(): void {
-    clearTimeout(this.ticker);
-    for (const name of [...this.controls.keys()]) this.disconnect(name);
+    clearTimeout(this.tickTimer);
+    for (const name of [...this.controlTasks.keys()]) this.disconnect(name);
   }
 }
--- a/packages/entry/src/group/local_executor.ts
+++ b/packages/entry/src/group/local_executor.ts
@@ -9,7 +9,7 @@
 import {Pipeline} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
 import {AcquireFilter} from './acquire_filter.js';
-import type {LeasedStatement} from './attempt.js';
+import type {StatementCheckout} from './attempt.js';
 import {callBackend} from './backend_call.js';
 import {refusalOf} from './backend_refusal.js';
 import {ChooseMemberFilter} from './choose_member_filter.js';
@@ -20,12 +20,16 @@
 import {LocalTransaction} from './local_transaction.js';
 import {RetryFilter} from './retry_filter.js';
 import {RecheckFilter} from './recheck_filter.js';
-import type {Recheck} from './recheck_filter.js';
+import type {StatementRecheck} from './recheck_filter.js';
 import {RunFilter} from './run_filter.js';
 
-/** Executes statements over this VM's own connections. */
+/** Executes statements over the connections that this VM owns. */
 export class LocalExecutor extends GroupExecutor {
-  private readonly acquire: Pipeline<RoutedStatement, LeasedStatement, Refusal>;
+  private readonly acquire: Pipeline<
+    RoutedStatement,
+    StatementCheckout,
+    Refusal
+  >;
   private readonly confirm: ConfirmFilter;
   private readonly autocommit: Pipeline<
     RoutedStatement,
@@ -36,19 +40,19 @@
   constructor(
     private readonly group: GroupTask,
     private readonly clock: Clock,
-    recheck: Recheck,
+    recheck: StatementRecheck,
     acknowledgement: AcknowledgementPolicy = new RouteAcknowledgementPolicy(),
   ) {
     super();
-    const choose = Pipeline.of(new ChooseMemberFilter(group), clock);
-    const checked = new RecheckFilter(group, recheck);
-    this.acquire = choose
+    const chooseMember = Pipeline.of(new ChooseMemberFilter(group), clock);
+    const recheckFilter = new RecheckFilter(group, recheck);
+    this.acquire = chooseMember
       .then(new AcquireFilter(group, 'transaction'))
-      .then(checked);
+      .then(recheckFilter);
     this.confirm = new ConfirmFilter(group, clock, acknowledgement);
-    const attempt = choose
+    const attempt = chooseMember
       .then(new AcquireFilter(group, 'statement'))
-      .then(checked)
+      .then(recheckFilter)
       .then(new RunFilter(group, clock))
       .then(this.confirm);
     this.autocommit = Pipeline.of(
@@ -66,9 +70,9 @@
   override async begin(
     statement: RoutedStatement,
   ): Promise<Result<TransactionHandle, Refusal>> {
-    const leased = await this.acquire.run({...statement, changesData: true});
-    if (!leased.ok) return leased;
-    const {backend} = leased.value;
+    const checkout = await this.acquire.run({...statement, changesData: true});
+    if (!checkout.ok) return checkout;
+    const {backend} = checkout.value;
     const begun = await callBackend(
       backend,
       'BEGIN',
@@ -81,7 +85,12 @@
       return fail({kind: 'no-member', detail: refusal.detail});
     }
     return ok(
-      new LocalTransaction(leased.value, this.group, this.confirm, this.clock),
+      new LocalTransaction(
+        checkout.value,
+        this.group,
+        this.confirm,
+        this.clock,
+      ),
     );
   }
 }
--- a/packages/entry/src/group/local_transaction.ts
+++ b/packages/entry/src/group/local_transaction.ts
@@ -8,7 +8,7 @@
 import {MYSQL_ERRNO} from '@pistachiorill/mysql';
 import type {BackendError} from '@pistachiorill/mysql';
 import type {Clock} from '@pistachiorill/tasks';
-import type {LeasedStatement} from './attempt.js';
+import type {StatementCheckout} from './attempt.js';
 import {callBackend} from './backend_call.js';
 import type {BackendResult} from './backend_call.js';
 import {refusalOf} from './backend_refusal.js';
@@ -19,6 +19,7 @@
 import {LOG_END_QUERY, decodeLogEnd} from './log_end.js';
 import {insertRequestSql, requestKeyOf} from './request_record.js';
 
+/** Time limit for a ROLLBACK, which has no deadline of a caller. */
 const ROLLBACK_TIMEOUT_MS = 2_000;
 
 /** Errors after which MySQL has rolled back the whole transaction. */
@@ -27,12 +28,12 @@
   MYSQL_ERRNO.lockWaitTimeout,
 ]);
 
-/** A transaction on one connection of the primary. */
+/** A transaction on one checked-out connection to the primary. */
 export class LocalTransaction extends TransactionHandle {
   private state: 'open' | 'ended' = 'open';
 
   constructor(
-    private readonly leased: LeasedStatement,
+    private readonly checkout: StatementCheckout,
     private readonly group: GroupTask,
     private readonly confirm: ConfirmFilter,
     private readonly clock: Clock,
@@ -43,12 +44,12 @@
   override async execute(
     statement: RoutedStatement,
   ): Promise<Result<StatementReply, Refusal>> {
-    if (this.state === 'ended') return lost('the transaction has ended');
+    if (this.state === 'ended') return lostRefusal('the transaction has ended');
     const claimed = await this.claim(statement);
     if (!claimed.ok) return this.failed(claimed.err);
     const answer = await this.call(statement.sql, statement.deadline);
     if (!answer.ok) return this.failed(answer.err);
-    const {member} = this.leased;
+    const {member} = this.checkout;
     return ok({
       result: answer.value,
       seen: undefined,
@@ -61,16 +62,18 @@
   override async commit(
     deadline: number,
   ): Promise<Result<StatementReply, Refusal>> {
-    if (this.state === 'ended') return lost('the transaction has ended');
+    if (this.state === 'ended') return lostRefusal('the transaction has ended');
     const committed = await this.call('COMMIT', deadline);
     if (!committed.ok) {
       this.end('close');
       const {err} = committed;
-      return err.kind === 'not-run' ? lost(err.detail) : fail(refusalOf(err));
+      return err.kind === 'not-run'
+        ? lostRefusal(err.detail)
+        : fail(refusalOf(err));
     }
     const answer = await this.call(LOG_END_QUERY, deadline);
     this.end(answer.ok ? 'reuse' : 'close');
-    const {statement, member} = this.leased;
+    const {statement, member} = this.checkout;
     const entry = answer.ok
       ? decodeLogEnd(answer.value, member.term)
       : undefined;
@@ -95,7 +98,7 @@
     this.end(answer.ok ? 'reuse' : 'close');
   }
 
-  /** Records the request id of a statement in this transaction. */
+  /** Inserts the request id of a statement, if any, in this transaction. */
   private async claim(
     statement: RoutedStatement,
   ): Promise<Result<unknown, BackendError>> {
@@ -105,29 +108,30 @@
   }
 
   private call(sql: string, deadline: number): Promise<BackendResult> {
-    return callBackend(this.leased.backend, sql, deadline, this.clock);
+    return callBackend(this.checkout.backend, sql, deadline, this.clock);
   }
 
   /**
-   * A statement's own error leaves the transaction open. After any other error
-   * the connection is closed, which rolls the transaction back.
+   * Handles an error of a statement. An error that MySQL reports for the
+   * statement alone leaves the transaction open. After any other error the
+   * connection is closed, which rolls the transaction back.
    */
   private failed(err: BackendError): Result<never, Refusal> {
     const open =
       err.kind === 'statement-error' && !ROLLED_BACK_ERRNOS.has(err.errno);
     if (open) return fail(refusalOf(err));
     this.end('close');
-    return lost(err.detail);
+    return lostRefusal(err.detail);
   }
 
   private end(reuse: Reuse): void {
     if (this.state === 'ended') return;
     this.state = 'ended';
-    const {backend} = this.leased;
+    const {backend} = this.checkout;
     this.group.tell({kind: 'release', backend, reuse});
   }
 }
 
-function lost(detail: string): Result<never, Refusal> {
+function lostRefusal(detail: string): Result<never, Refusal> {
   return fail({kind: 'transaction-lost', detail});
 }
--- a/packages/entry/src/group/log_end.ts
+++ b/packages/entry/src/group/log_end.ts
@@ -1,13 +1,14 @@
 import type {LogPosition, StatementResult} from '@pistachiorill/core';
 
-/** Asks a member for its role and term and for the end of its log. */
+/** Queries the role and term of a member and the end of its log. */
 export const LOG_END_QUERY =
   'SELECT @@group_role, @@group_term, @@group_entry_term, @@group_position';
 
 /**
- * Decodes the answer to `LOG_END_QUERY` after a write in `term`. The position
- * covers the write only while the member is still the primary of that term. A
- * member that was replaced may have dropped the write and ends elsewhere.
+ * Decodes the answer to `LOG_END_QUERY` after a write in `term`. Returns
+ * undefined unless the member is still the primary of that term: a member that
+ * was replaced may have dropped the write, and its log then ends at a position
+ * that does not cover the write.
  */
 export function decodeLogEnd(
   result: StatementResult,
--- a/packages/entry/src/group/member_control_task.ts
+++ b/packages/entry/src/group/member_control_task.ts
@@ -3,14 +3,17 @@
 import {Task} from '@pistachiorill/tasks';
 import type {Clock, Reply} from '@pistachiorill/tasks';
 
+/** Poll interval while no statement waits for the state of a member. */
 const IDLE_POLL_MS = 250;
+/** Poll interval while statements wait for a quorum proof. */
 const URGENT_POLL_MS = 5;
-/** Pace while statements wait for a member, such as during a failover. */
+/** Poll interval while statements wait for a member, as in a failover. */
 const WAITING_POLL_MS = 50;
 
+/** The state of a member after a poll or a control call, or the error. */
 export type ControlResult = Result<MemberState, BackendError>;
 
-/** How often the member is polled. */
+/** How often the member is polled: each pace has its own interval. */
 export type PollPace = 'idle' | 'waiting' | 'urgent';
 
 const POLL_INTERVAL_MS: Readonly<Record<PollPace, number>> = {
@@ -19,9 +22,10 @@
   urgent: URGENT_POLL_MS,
 };
 
-/** One reply to a poll, with the time at which the poll was sent. */
+/** The outcome of one poll. */
 export interface PollReply {
   readonly backendServer: string;
+  /** Time at which the poll was sent; the state is no older than this. */
   readonly sentAt: number;
   readonly result: ControlResult;
 }
@@ -35,6 +39,7 @@
     }
   | {readonly kind: 'follow'; readonly term: number; readonly primary: string};
 
+/** Messages that a `MemberControlTask` handles. */
 export type MemberControlMessage =
   | {readonly kind: 'poll'}
   | {readonly kind: 'pace'; readonly pace: PollPace}
@@ -103,7 +108,7 @@
   private setPace(pace: PollPace): void {
     if (this.pace === pace) return;
     this.pace = pace;
-    // Somebody waits for news of the member, so the first poll is sent at once.
+    // Statements wait for the member's state, so the first poll is immediate.
     if (pace !== 'idle') this.tell({kind: 'poll'});
   }
 
--- a/packages/entry/src/group/member_view_update.ts
+++ b/packages/entry/src/group/member_view_update.ts
@@ -1,8 +1,8 @@
 import type {BackendServer, MemberView} from '@pistachiorill/core';
 import type {PollReply} from './member_control_task.js';
 
-/** The view of a member that was not polled yet. */
-export function newMemberView(server: BackendServer): MemberView {
+/** Returns the view of a member before its first poll. */
+export function unpolledMemberView(server: BackendServer): MemberView {
   return {
     backendServer: server.name,
     dataCentre: server.dataCentre,
@@ -13,8 +13,11 @@
   };
 }
 
-/** The view of a member after a poll was answered or has failed. */
-export function afterPoll(
+/**
+ * Returns the view of a member after a poll. A failed poll makes the member
+ * unreachable and keeps its last known state.
+ */
+export function withPollReply(
   member: MemberView,
   poll: PollReply,
   now: number,
--- a/packages/entry/src/group/plain_runner.ts
+++ b/packages/entry/src/group/plain_runner.ts
@@ -1,23 +1,23 @@
 import {fail, ok} from '@pistachiorill/core';
 import type {Refusal, Result} from '@pistachiorill/core';
-import type {LeasedStatement} from './attempt.js';
+import type {StatementCheckout} from './attempt.js';
 import {refusalOf} from './backend_refusal.js';
 import {StatementRunner} from './statement_runner.js';
 import type {RunOutcome} from './statement_runner.js';
 
-/** Executes a read, or a write without a request id. */
+/** Executes a read, or a write that has no request id. */
 export class PlainRunner extends StatementRunner {
   override async run(
-    leased: LeasedStatement,
+    checkout: StatementCheckout,
   ): Promise<Result<RunOutcome, Refusal>> {
-    const {statement} = leased;
-    const answer = await this.call(leased, statement.sql);
+    const {statement} = checkout;
+    const answer = await this.call(checkout, statement.sql);
     if (answer.ok) {
       return statement.changesData
-        ? this.withLogEnd(leased, answer.value)
+        ? this.withLogEnd(checkout, answer.value)
         : ok({result: answer.value, entry: undefined});
     }
-    // A read without an answer changed nothing, so it certainly did no harm.
+    // A read changes nothing, so a lost answer counts as not run.
     if (answer.err.kind === 'lost' && !statement.changesData) {
       return fail({kind: 'no-member', detail: answer.err.detail});
     }
--- a/packages/entry/src/group/proof_queue.ts
+++ b/packages/entry/src/group/proof_queue.ts
@@ -5,29 +5,34 @@
 } from '@pistachiorill/core';
 import type {GroupView} from '@pistachiorill/core';
 import type {Reply} from '@pistachiorill/tasks';
-import type {Proof, ProofOutcome} from './group_message.js';
+import type {QuorumProof, ProofOutcome} from './group_message.js';
 
-interface ProofWaiter {
-  readonly proof: Proof;
+interface PendingProof {
+  readonly proof: QuorumProof;
   readonly since: number;
   readonly until: number;
   readonly reply: Reply<ProofOutcome>;
 }
 
-/** The statements that wait for a proof. It belongs to the group's task. */
+/**
+ * Holds the statements that wait for a quorum proof. Owned by the `GroupTask`.
+ */
 export class ProofQueue {
-  private waiters: ProofWaiter[] = [];
+  private waiters: PendingProof[] = [];
 
   get size(): number {
     return this.waiters.length;
   }
 
-  add(waiter: ProofWaiter): void {
+  add(waiter: PendingProof): void {
     this.waiters.push(waiter);
   }
 
-  /** Answers the statements whose proof is given or can no longer come. */
-  decide(view: GroupView, now: number): void {
+  /**
+   * Answers the statements whose proof is complete, has timed out or can no
+   * longer be completed.
+   */
+  answerReady(view: GroupView, now: number): void {
     this.waiters = this.waiters.filter(waiter => {
       if (isProven(waiter.proof, view)) {
         waiter.reply.answer('proven');
@@ -39,7 +44,7 @@
     });
   }
 
-  /** How long the oldest write that is not confirmed has waited. */
+  /** How long the oldest unconfirmed write has waited; 0 without one. */
   confirmationDelayMs(now: number): number {
     const since = this.waiters
       .filter(waiter => waiter.proof.kind === 'held')
@@ -48,14 +53,14 @@
   }
 }
 
-function isProven(proof: Proof, view: GroupView): boolean {
+function isProven(proof: QuorumProof, view: GroupView): boolean {
   return proof.kind === 'held'
     ? isHeldByMajority(view, proof.entry)
     : isMajorityUnfenced(view, proof.term, proof.since);
 }
 
-/** A proof for the term of a former primary can no longer be given. */
-function isSuperseded(proof: Proof, view: GroupView): boolean {
+/** Whether a primary of a later term has made the proof impossible. */
+function isSuperseded(proof: QuorumProof, view: GroupView): boolean {
   const term = proof.kind === 'held' ? proof.entry.term : proof.term;
   return (currentPrimary(view)?.state?.term ?? 0) > term;
 }
--- a/packages/entry/src/group/recheck_filter.ts
+++ b/packages/entry/src/group/recheck_filter.ts
@@ -1,33 +1,37 @@
 import {Filter, ok} from '@pistachiorill/core';
 import type {Refusal, Result, RoutedStatement} from '@pistachiorill/core';
-import type {LeasedStatement} from './attempt.js';
+import type {StatementCheckout} from './attempt.js';
 import type {GroupTask} from './group_task.js';
 
-/** Checks whether a statement that has waited may still run. */
-export type Recheck = (statement: RoutedStatement) => Result<unknown, Refusal>;
+/** Checks whether a statement may still run after it has waited. */
+export type StatementRecheck = (
+  statement: RoutedStatement,
+) => Result<unknown, Refusal>;
 
 /**
- * Refuses a statement whose key was withdrawn while it waited for a member or
- * a connection, since that wait may last for the whole deadline.
+ * Refuses a statement whose key was revoked while it waited for a member or a
+ * connection. The check is needed because the wait may take until the deadline.
  */
 export class RecheckFilter extends Filter<
-  LeasedStatement,
-  LeasedStatement,
+  StatementCheckout,
+  StatementCheckout,
   Refusal
 > {
   override readonly name = 'recheck';
 
   constructor(
     private readonly group: GroupTask,
-    private readonly recheck: Recheck,
+    private readonly recheck: StatementRecheck,
   ) {
     super();
   }
 
-  override run(leased: LeasedStatement): Result<LeasedStatement, Refusal> {
-    const current = this.recheck(leased.statement);
-    if (current.ok) return ok(leased);
-    const {backend} = leased;
+  override run(
+    checkout: StatementCheckout,
+  ): Result<StatementCheckout, Refusal> {
+    const current = this.recheck(checkout.statement);
+    if (current.ok) return ok(checkout);
+    const {backend} = checkout;
     this.group.tell({kind: 'release', backend, reuse: 'reuse'});
     return current;
   }
--- a/packages/entry/src/group/recorded_runner.ts
+++ b/packages/entry/src/group/recorded_runner.ts
@@ -2,7 +2,7 @@
 import type {Refusal, Result, StatementResult} from '@pistachiorill/core';
 import {MYSQL_ERRNO} from '@pistachiorill/mysql';
 import type {BackendError} from '@pistachiorill/mysql';
-import type {LeasedStatement} from './attempt.js';
+import type {StatementCheckout} from './attempt.js';
 import {refusalOf} from './backend_refusal.js';
 import {
   CREATE_REQUEST_TABLE,
@@ -16,67 +16,70 @@
 import {StatementRunner} from './statement_runner.js';
 import type {RunOutcome} from './statement_runner.js';
 
-type Step = Result<StatementResult, BackendError>;
+type SqlResult = Result<StatementResult, BackendError>;
 
 /**
- * Executes a write in one transaction with the record of its request id. A
- * repeat finds the record, through any VM and after a failover, and gets the
- * recorded outcome.
+ * Executes a write that has a request id. The write and the record of its id
+ * are committed in one transaction, so a repeat finds the record through any
+ * VM, also after a failover, and returns the recorded outcome.
  */
 export class RecordedRunner extends StatementRunner {
   override async run(
-    leased: LeasedStatement,
+    checkout: StatementCheckout,
   ): Promise<Result<RunOutcome, Refusal>> {
-    const key = requestKeyOf(leased.statement);
+    const key = requestKeyOf(checkout.statement);
     if (!key) {
       return fail({kind: 'malformed-options', detail: 'no request id'});
     }
-    const claimed = await this.claim(leased, key);
-    if (!claimed.ok) return this.claimFailed(leased, key, claimed.err);
-    const {sql} = leased.statement;
-    const result = await this.call(leased, sql);
-    if (!result.ok) return this.rolledBack(leased, result.err);
+    const claimed = await this.claim(checkout, key);
+    if (!claimed.ok) return this.handleClaimError(checkout, key, claimed.err);
+    const {sql} = checkout.statement;
+    const result = await this.call(checkout, sql);
+    if (!result.ok) return this.rollBack(checkout, result.err);
     const recorded = await this.call(
-      leased,
+      checkout,
       updateRequestSql(key, result.value),
     );
-    if (!recorded.ok) return this.rolledBack(leased, recorded.err);
-    const committed = await this.call(leased, 'COMMIT');
+    if (!recorded.ok) return this.rollBack(checkout, recorded.err);
+    const committed = await this.call(checkout, 'COMMIT');
     if (!committed.ok) return fail(refusalOf(committed.err));
-    return this.withLogEnd(leased, result.value);
+    return this.withLogEnd(checkout, result.value);
   }
 
   /** Begins the transaction and inserts the request id. */
-  private async claim(leased: LeasedStatement, key: RequestKey): Promise<Step> {
-    const begun = await this.call(leased, 'BEGIN');
-    return begun.ok ? this.call(leased, insertRequestSql(key)) : begun;
+  private async claim(
+    checkout: StatementCheckout,
+    key: RequestKey,
+  ): Promise<SqlResult> {
+    const begun = await this.call(checkout, 'BEGIN');
+    return begun.ok ? this.call(checkout, insertRequestSql(key)) : begun;
   }
 
-  private async claimFailed(
-    leased: LeasedStatement,
+  private async handleClaimError(
+    checkout: StatementCheckout,
     key: RequestKey,
     err: BackendError,
   ): Promise<Result<RunOutcome, Refusal>> {
-    if (err.kind !== 'statement-error') return this.rolledBack(leased, err);
+    if (err.kind !== 'statement-error') return this.rollBack(checkout, err);
     switch (err.errno) {
       case MYSQL_ERRNO.duplicateKey:
-        return this.repeated(leased, key);
+        return this.answerFromRecord(checkout, key);
       case MYSQL_ERRNO.noSuchTable:
-        return this.createTable(leased);
+        return this.createTableAndRerun(checkout);
       default:
-        return this.rolledBack(leased, err);
+        return this.rollBack(checkout, err);
     }
   }
 
-  /** Answers a repeat with the recorded outcome of the first execution. */
-  private async repeated(
-    leased: LeasedStatement,
+  /** Returns the recorded outcome of the first execution. */
+  private async answerFromRecord(
+    checkout: StatementCheckout,
     key: RequestKey,
   ): Promise<Result<RunOutcome, Refusal>> {
-    const ended = await this.call(leased, 'ROLLBACK');
-    if (!ended.ok) return this.rolledBack(leased, ended.err);
-    const found = await this.call(leased, selectRequestSql(key));
-    if (!found.ok) return this.rolledBack(leased, found.err);
+    const ended = await this.call(checkout, 'ROLLBACK');
+    if (!ended.ok) return this.rollBack(checkout, ended.err);
+    const found = await this.call(checkout, selectRequestSql(key));
+    if (!found.ok) return this.rollBack(checkout, found.err);
     const record = decodeRequestRecord(found.value);
     if (!record) {
       return fail({
@@ -91,32 +94,36 @@
       });
     }
     const {affectedRows, insertId} = record;
-    return this.withLogEnd(leased, {kind: 'done', affectedRows, insertId});
+    return this.withLogEnd(checkout, {kind: 'done', affectedRows, insertId});
   }
 
-  private async createTable(
-    leased: LeasedStatement,
+  /** Creates the request table on first use and runs the statement again. */
+  private async createTableAndRerun(
+    checkout: StatementCheckout,
   ): Promise<Result<RunOutcome, Refusal>> {
-    const ended = await this.call(leased, 'ROLLBACK');
+    const ended = await this.call(checkout, 'ROLLBACK');
     const created = ended.ok
-      ? await this.call(leased, CREATE_REQUEST_TABLE)
+      ? await this.call(checkout, CREATE_REQUEST_TABLE)
       : ended;
-    return created.ok ? this.run(leased) : this.rolledBack(leased, created.err);
+    return created.ok
+      ? this.run(checkout)
+      : this.rollBack(checkout, created.err);
   }
 
   /**
-   * Ends the transaction after an error before COMMIT was sent. Closing the
-   * connection rolls it back as well, so the statement certainly did not run.
+   * Rolls back after an error that came before COMMIT was sent. If the
+   * connection failed, closing it rolls the transaction back as well, so the
+   * statement certainly had no effect.
    */
-  private async rolledBack(
-    leased: LeasedStatement,
+  private async rollBack(
+    checkout: StatementCheckout,
     err: BackendError,
   ): Promise<Result<RunOutcome, Refusal>> {
     if (err.kind !== 'statement-error') {
-      leased.backend.tell({kind: 'close'});
+      checkout.backend.tell({kind: 'close'});
       return fail({kind: 'no-member', detail: err.detail});
     }
-    await this.call(leased, 'ROLLBACK');
+    await this.call(checkout, 'ROLLBACK');
     return fail(refusalOf(err));
   }
 }
--- a/packages/entry/src/group/request_record.ts
+++ b/packages/entry/src/group/request_record.ts
@@ -2,31 +2,35 @@
 import {scanSql} from '@pistachiorill/core';
 import type {RoutedStatement, StatementResult} from '@pistachiorill/core';
 
-/** The table that records request ids with the effects of their statements. */
-const TABLE = 'pistachiorill_request';
+/** The table that records request ids and the effects of their statements. */
+const REQUEST_TABLE = 'pistachiorill_request';
 
+/** Creates the request table on first use. */
 export const CREATE_REQUEST_TABLE =
-  `CREATE TABLE IF NOT EXISTS ${TABLE} (` +
+  `CREATE TABLE IF NOT EXISTS ${REQUEST_TABLE} (` +
   'workspace VARCHAR(128) NOT NULL, request_id VARCHAR(255) NOT NULL, ' +
   'fingerprint CHAR(64) NOT NULL, affected_rows BIGINT NOT NULL, ' +
   'insert_id BIGINT NOT NULL, PRIMARY KEY (workspace, request_id))';
 
-/** Identifies a request of a workspace. */
+/** Identifies a write of a workspace by its request id. */
 export interface RequestKey {
   readonly workspace: string;
   readonly requestId: string;
-  /** Hash of the statement, so that an id reused for another one is noticed. */
+  /** Hash of the statement; detects an id reused for another statement. */
   readonly fingerprint: string;
 }
 
-/** A recorded request, as it is found on a repeat. */
+/** The stored record of a request, as a repeat reads it. */
 export interface RequestRecord {
   readonly fingerprint: string;
   readonly affectedRows: number;
   readonly insertId: number;
 }
 
-/** The key of a statement that carries a request id. */
+/**
+ * Returns the key of a write with a request id; undefined for a read or a
+ * statement without an id.
+ */
 export function requestKeyOf(
   statement: RoutedStatement,
 ): RequestKey | undefined {
@@ -41,32 +45,36 @@
   };
 }
 
-/** Claims the id inside the transaction of its statement. */
+/**
+ * Returns the SQL that inserts the request id, in the transaction of its
+ * statement. A duplicate key error then identifies a repeat.
+ */
 export function insertRequestSql(key: RequestKey): string {
   return (
-    `INSERT INTO ${TABLE} ` +
+    `INSERT INTO ${REQUEST_TABLE} ` +
     '(workspace, request_id, fingerprint, affected_rows, insert_id) VALUES ' +
-    `(${quote(key.workspace)}, ${quote(key.requestId)}, ` +
-    `${quote(key.fingerprint)}, 0, 0)`
+    `(${quoteSqlString(key.workspace)}, ${quoteSqlString(key.requestId)}, ` +
+    `${quoteSqlString(key.fingerprint)}, 0, 0)`
   );
 }
 
-/** Adds the outcome to the record, in the same transaction. */
+/** Returns the SQL that records the outcome, in the same transaction. */
 export function updateRequestSql(
   key: RequestKey,
   result: StatementResult,
 ): string {
   const done = result.kind === 'done' ? result : NO_ROWS_CHANGED;
   return (
-    `UPDATE ${TABLE} SET affected_rows = ${done.affectedRows}, ` +
-    `insert_id = ${done.insertId} WHERE ${matches(key)}`
+    `UPDATE ${REQUEST_TABLE} SET affected_rows = ${done.affectedRows}, ` +
+    `insert_id = ${done.insertId} WHERE ${requestKeyCondition(key)}`
   );
 }
 
+/** Returns the SQL that reads the record of a request. */
 export function selectRequestSql(key: RequestKey): string {
   return (
-    `SELECT fingerprint, affected_rows, insert_id FROM ${TABLE} ` +
-    `WHERE ${matches(key)}`
+    `SELECT fingerprint, affected_rows, insert_id FROM ${REQUEST_TABLE} ` +
+    `WHERE ${requestKeyCondition(key)}`
   );
 }
 
@@ -88,14 +96,14 @@
 
 const NO_ROWS_CHANGED = {affectedRows: 0, insertId: 0};
 
-function matches(key: RequestKey): string {
+function requestKeyCondition(key: RequestKey): string {
   return (
-    `workspace = ${quote(key.workspace)} AND ` +
-    `request_id = ${quote(key.requestId)}`
+    `workspace = ${quoteSqlString(key.workspace)} AND ` +
+    `request_id = ${quoteSqlString(key.requestId)}`
   );
 }
 
-/** Hashes a statement without its comments, as they hold the options. */
+/** Hashes a statement without its comments, since they hold the options. */
 function fingerprintOf(sql: string): string {
   const tokens = scanSql(sql);
   const text = Array.isArray(tokens)
@@ -104,7 +112,7 @@
   return createHash('sha256').update(text.join(' ')).digest('hex');
 }
 
-/** Writes a string literal. Names and ids hold no backslashes. */
-function quote(text: string): string {
+/** Quotes an SQL string. Workspace names and ids contain no backslashes. */
+function quoteSqlString(text: string): string {
   return `'${text.replace(/'/g, "''")}'`;
 }
--- a/packages/entry/src/group/retry_filter.ts
+++ b/packages/entry/src/group/retry_filter.ts
@@ -14,7 +14,7 @@
 
 type Attempt = Pipeline<RoutedStatement, StatementReply, Refusal>;
 
-/** Runs attempts of a statement until one succeeds or none is allowed. */
+/** Repeats a statement until it succeeds or no further attempt is allowed. */
 export class RetryFilter extends Filter<
   RoutedStatement,
   StatementReply,
@@ -35,7 +35,7 @@
   ): Promise<Result<StatementReply, Refusal>> {
     const repeatability = repeatabilityOf(statement);
     this.group.tell({kind: 'request-started'});
-    // A write that may have run stays unknown, whatever a later attempt says.
+    // Once a write may have run, no later refusal can say that it did not.
     let unknown: Refusal | undefined;
     for (let attempts = 1; ; attempts += 1) {
       const result = await this.attempt.run({
@@ -68,6 +68,7 @@
   }
 }
 
+/** Classifies how a statement may be executed again after an attempt. */
 function repeatabilityOf(statement: RoutedStatement): Repeatability {
   if (!statement.changesData || statement.route.repeatable) return 'repeatable';
   return statement.options.requestId === undefined ? 'once' : 'recorded';
--- a/packages/entry/src/group/run_filter.ts
+++ b/packages/entry/src/group/run_filter.ts
@@ -1,7 +1,7 @@
 import {Filter, ok} from '@pistachiorill/core';
 import type {Refusal, Result} from '@pistachiorill/core';
 import type {Clock} from '@pistachiorill/tasks';
-import type {ExecutedStatement, LeasedStatement} from './attempt.js';
+import type {ExecutedStatement, StatementCheckout} from './attempt.js';
 import type {Reuse} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 import {PlainRunner} from './plain_runner.js';
@@ -9,9 +9,9 @@
 import {requestKeyOf} from './request_record.js';
 import type {StatementRunner} from './statement_runner.js';
 
-/** Executes the statement and gives its connection back. */
+/** Executes the statement and returns its connection to the pool. */
 export class RunFilter extends Filter<
-  LeasedStatement,
+  StatementCheckout,
   ExecutedStatement,
   Refusal
 > {
@@ -29,23 +29,28 @@
   }
 
   override async run(
-    leased: LeasedStatement,
+    checkout: StatementCheckout,
   ): Promise<Result<ExecutedStatement, Refusal>> {
-    const runner = requestKeyOf(leased.statement) ? this.recorded : this.plain;
-    const outcome = await runner.run(leased);
+    const runner = requestKeyOf(checkout.statement)
+      ? this.recorded
+      : this.plain;
+    const outcome = await runner.run(checkout);
     this.group.tell({
       kind: 'release',
-      backend: leased.backend,
-      reuse: reuseAfter(outcome),
+      backend: checkout.backend,
+      reuse: reuseAfterOutcome(outcome),
     });
     if (!outcome.ok) return outcome;
-    const {statement, member} = leased;
+    const {statement, member} = checkout;
     return ok({statement, member, ...outcome.value});
   }
 }
 
-/** A connection is kept only when every answer on it was read. */
-export function reuseAfter(outcome: Result<unknown, Refusal>): Reuse {
+/**
+ * Decides whether a connection may be reused. It is kept only if every answer
+ * on it was read.
+ */
+export function reuseAfterOutcome(outcome: Result<unknown, Refusal>): Reuse {
   if (outcome.ok) return 'reuse';
   switch (outcome.err.kind) {
     case 'backend-error':
--- a/packages/entry/src/group/statement_runner.ts
+++ b/packages/entry/src/group/statement_runner.ts
@@ -6,40 +6,50 @@
   StatementResult,
 } from '@pistachiorill/core';
 import type {Clock} from '@pistachiorill/tasks';
-import type {LeasedStatement} from './attempt.js';
+import type {StatementCheckout} from './attempt.js';
 import {callBackend} from './backend_call.js';
 import type {BackendResult} from './backend_call.js';
 import {LOG_END_QUERY, decodeLogEnd} from './log_end.js';
 
-/** What a statement produced, with the end of the log after a write. */
+/** The result of an executed statement that is not confirmed yet. */
 export interface RunOutcome {
   readonly result: StatementResult;
+  /** The end of the member's log after a write; undefined after a read. */
   readonly entry: LogPosition | undefined;
 }
 
-/** Executes an autocommit statement on its connection. */
+/** Executes an autocommit statement on its checked-out connection. */
 export abstract class StatementRunner {
   constructor(protected readonly clock: Clock) {}
 
-  abstract run(leased: LeasedStatement): Promise<Result<RunOutcome, Refusal>>;
+  /** Executes the statement within its deadline. */
+  abstract run(
+    checkout: StatementCheckout,
+  ): Promise<Result<RunOutcome, Refusal>>;
 
-  protected call(leased: LeasedStatement, sql: string): Promise<BackendResult> {
+  protected call(
+    checkout: StatementCheckout,
+    sql: string,
+  ): Promise<BackendResult> {
     return callBackend(
-      leased.backend,
+      checkout.backend,
       sql,
-      leased.statement.deadline,
+      checkout.statement.deadline,
       this.clock,
     );
   }
 
-  /** Adds the end of the log to the result of a committed write. */
+  /**
+   * Adds the end of the log to the result of a committed write. Without it the
+   * write cannot be confirmed, so its outcome is unknown.
+   */
   protected async withLogEnd(
-    leased: LeasedStatement,
+    checkout: StatementCheckout,
     result: StatementResult,
   ): Promise<Result<RunOutcome, Refusal>> {
-    const answer = await this.call(leased, LOG_END_QUERY);
+    const answer = await this.call(checkout, LOG_END_QUERY);
     const entry = answer.ok
-      ? decodeLogEnd(answer.value, leased.member.term)
+      ? decodeLogEnd(answer.value, checkout.member.term)
       : undefined;
     if (entry) return ok({result, entry});
     return fail({
