--- a/packages/entry/src/backend/backend_task.ts
+++ b/packages/entry/src/backend/backend_task.ts
@@ -5,8 +5,10 @@
 import {Task} from '@pistachiorill/tasks';
 import type {Reply} from '@pistachiorill/tasks';
 
+/** Time limit for opening a connection, within that of the statement. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
+/** Messages that a `BackendTask` handles. */
 export type BackendMessage =
   | {
       readonly kind: 'execute';
@@ -17,9 +19,9 @@
   | {readonly kind: 'close'};
 
 /**
- * Owns one data connection to a backend server. The connection is opened with
- * the first statement and is not opened again after it was lost, because the
- * next user must not continue in another's transaction.
+ * Owns one data connection to a backend server. The first statement opens the
+ * connection. It is not reopened after a loss, because no caller may continue
+ * in the transaction of another.
  */
 export class BackendTask extends Task<BackendMessage> {
   private connection: BackendConnection | undefined;
@@ -34,7 +36,7 @@
     super();
   }
 
-  /** Does not wait for the answer, so that a close can end a statement. */
+  /** Does not await the answer, so that a close can end a running statement. */
   protected override handle(message: BackendMessage): void {
     if (message.kind === 'close') {
       this.state = 'closed';
@@ -51,12 +53,12 @@
     this.onFault(err);
   }
 
-  /** Whether a statement may be sent, as far as is known. */
+  /** Whether the connection is new or is not known to be closed. */
   get usable(): boolean {
     return this.state === 'new' || this.connection?.usable === true;
   }
 
-  /** Whether the task was closed while its connection was being opened. */
+  /** Whether the task was closed, also while its connection was opening. */
   private isClosed(): boolean {
     return this.state === 'closed';
   }
--- a/packages/entry/src/forward/__tests__/fakes.ts
+++ b/packages/entry/src/forward/__tests__/fakes.ts
@@ -12,12 +12,14 @@
 import {OwnerCalls} from '../owner_calls.js';
 import type {OwnerTarget} from '../owner_calls.js';
 
+/** The context of a VM that serves. */
 export const CONTEXT = {
   current: {version: 1, hash: '', configuration: undefined},
   confirmation: 'confirmed',
   lifecycle: 'serving',
 } as unknown as StatementContext;
 
+/** Returns a routed statement whose route differs from the default as given. */
 export function statementOf(route: Partial<Route>): RoutedStatement {
   const access = route.access ?? 'write';
   return {
@@ -39,6 +41,7 @@
   };
 }
 
+/** The reply of every successful statement. */
 export const REPLY: StatementReply = {
   result: {kind: 'rows', columns: [], rows: [[Buffer.from([0, 255]), null]]},
   database: 'd',
@@ -47,6 +50,7 @@
   servedBy: 'primary',
 };
 
+/** `REPLY` as an owner sends it. */
 export const DONE: ForwardAnswer = {
   ok: true,
   value: {
@@ -58,13 +62,15 @@
   },
 };
 
-export type Script = 'unreachable' | 'no-answer' | 'done' | Refusal['kind'];
+/** What a scripted call ends with: an error of the call, success or a refusal. */
+export type ScriptedAnswer =
+  'unreachable' | 'no-answer' | 'done' | Refusal['kind'];
 
-/** Owners that answer as the script says, in the order of the calls. */
+/** Logs the calls to owners and answers them in order from a script. */
 export class ScriptedCalls extends OwnerCalls {
   readonly log: string[] = [];
 
-  constructor(private readonly script: Script[]) {
+  constructor(private readonly script: ScriptedAnswer[]) {
     super();
   }
 
@@ -112,7 +118,7 @@
   }
 }
 
-/** A local executor that records what is done to its one transaction. */
+/** An executor that logs its calls and those of its transactions. */
 export class RecordingExecutor extends GroupExecutor {
   readonly log: string[] = [];
 
--- a/packages/entry/src/forward/__tests__/forwarding_executor.test.ts
+++ b/packages/entry/src/forward/__tests__/forwarding_executor.test.ts
@@ -3,7 +3,7 @@
 import {ForwardingExecutor} from '../forwarding_executor.js';
 import type {OwnerTarget} from '../owner_calls.js';
 import {REPLY, ScriptedCalls, statementOf} from './fakes.js';
-import type {Script} from './fakes.js';
+import type {ScriptedAnswer} from './fakes.js';
 
 const OWNERS: OwnerTarget[] = ['a', 'b'].map(vm => ({
   vm,
@@ -16,7 +16,7 @@
 const REPEATABLE: Partial<Route> = {access: 'write', repeatable: true};
 const READ: Partial<Route> = {access: 'read'};
 
-function setup(script: Script[]) {
+function setup(script: ScriptedAnswer[]) {
   const calls = new ScriptedCalls(script);
   const executor = new ForwardingExecutor('d', () => OWNERS, {
     calls,
@@ -35,8 +35,8 @@
 }
 
 describe('ForwardingExecutor', () => {
-  // Guards against a write that runs twice, and against "not run" for a
-  // statement that an earlier owner may have executed.
+  // Guards against executing a write twice, and against reporting a statement
+  // as not run although an earlier owner may have executed it.
   it.each([
     ['write', WRITE, ['done']],
     ['write', WRITE, ['unreachable', 'done']],
@@ -50,7 +50,7 @@
     ['read', READ, ['no-answer', 'done']],
     ['read', READ, ['no-answer', 'no-answer']],
     ['read', READ, ['no-member', 'done']],
-  ] as ReadonlyArray<readonly [string, Partial<Route>, Script[]]>)(
+  ] as ReadonlyArray<readonly [string, Partial<Route>, ScriptedAnswer[]]>)(
     '%s %#: %j',
     async (unusedName, route, script) => {
       const {calls, executor} = setup([...script]);
@@ -60,17 +60,17 @@
     },
   );
 
-  // Guards against a commit that is reported as rolled back although it may
-  // have taken effect, and a lost statement whose transaction is committed.
+  // Guards against reporting a commit as rolled back although it may have taken
+  // effect, and against committing a transaction that has lost a statement.
   it.each([
-    ['all is well', ['done', 'done', 'done']],
-    ['the owner cannot be reached at first', ['unreachable', 'done']],
-    ['begin has no answer', ['no-answer', 'done']],
-    ['a statement has no answer', ['done', 'no-answer']],
+    ['all calls succeed', ['done', 'done', 'done']],
+    ['the first owner is unreachable', ['unreachable', 'done']],
+    ['begin is not answered', ['no-answer', 'done']],
+    ['a statement is not answered', ['done', 'no-answer']],
     ['the owner lost the transaction', ['done', 'transaction-lost']],
-    ['commit has no answer', ['done', 'done', 'no-answer']],
-    ['commit was not sent', ['done', 'done', 'unreachable']],
-  ] as ReadonlyArray<readonly [string, Script[]]>)(
+    ['commit is not answered', ['done', 'done', 'no-answer']],
+    ['commit is not sent', ['done', 'done', 'unreachable']],
+  ] as ReadonlyArray<readonly [string, ScriptedAnswer[]]>)(
     'transaction: %s',
     async (unusedName, script) => {
       const {calls, executor} = setup([...script]);
--- a/packages/entry/src/forward/__tests__/owner_task.test.ts
+++ b/packages/entry/src/forward/__tests__/owner_task.test.ts
@@ -2,7 +2,7 @@
 import {ask} from '@pistachiorill/tasks';
 import type {BeginAnswer, ForwardAnswer} from '@pistachiorill/peers';
 import {afterEach, describe, expect, it} from 'vitest';
-import {KEEP_ALIVE_LIMIT_MS, OwnerTask} from '../owner_task.js';
+import {KEEP_ALIVE_TIMEOUT_MS, OwnerTask} from '../owner_task.js';
 import {encodeStatement} from '../wire_statement.js';
 import {CONTEXT, DONE, RecordingExecutor, statementOf} from './fakes.js';
 
@@ -63,15 +63,15 @@
     return begun.transaction;
   }
 
-  // Guards against locks that a dead VM's transaction holds for ever, and
-  // against ending the transaction of a VM whose caller only thinks.
-  it('ends a transaction that is not named any more', async () => {
+  // Guards against locks that the transaction of a failed VM holds for ever,
+  // and against rolling back a transaction whose caller is merely idle.
+  it('rolls back a transaction without keep-alives', async () => {
     const {executor, time, task, begin, executeIn} = setup();
     const kept = await open(begin);
     const dropped = await open(begin);
-    time.now = KEEP_ALIVE_LIMIT_MS;
+    time.now = KEEP_ALIVE_TIMEOUT_MS;
     task.tell({kind: 'keep-alive', transactions: [kept]});
-    time.now = KEEP_ALIVE_LIMIT_MS + 1;
+    time.now = KEEP_ALIVE_TIMEOUT_MS + 1;
     task.tell({kind: 'sweep'});
     expect((await executeIn(kept)).ok).toBe(true);
     expect(await executeIn(dropped)).toMatchSnapshot();
@@ -84,7 +84,7 @@
   });
 
   // Guards against a commit that runs twice or after a rollback.
-  it('commits once', async () => {
+  it('commits a transaction only once', async () => {
     const {executor, begin, commit} = setup();
     const transaction = await open(begin);
     expect(await commit(transaction)).toEqual(DONE);
@@ -92,8 +92,8 @@
     expect(executor.log).toEqual(['begin', 'commit']);
   });
 
-  // Guards against forwarding in a circle and against work during a stop.
-  it('refuses what it does not own, and all new work while it drains', async () => {
+  // Guards against forwarding loops, and against new work during a planned stop.
+  it('refuses groups it does not own, and all new work while draining', async () => {
     const serving = setup();
     const draining = setup({...CONTEXT, lifecycle: 'draining'});
     expect({
--- a/packages/entry/src/forward/forward_tools.ts
+++ b/packages/entry/src/forward/forward_tools.ts
@@ -2,10 +2,13 @@
 import type {KeepAliveTask} from './keep_alive_task.js';
 import type {OwnerCalls} from './owner_calls.js';
 
-/** Lets a refusal that the owner sends at the deadline still arrive. */
+/**
+ * Extra time to wait after the deadline, so that a refusal that the owner sends
+ * at the deadline still arrives.
+ */
 export const ANSWER_GRACE_MS = 100;
 
-/** The collaborators of all forwarding executors of a VM. */
+/** The collaborators that all forwarding executors of a VM share. */
 export interface ForwardTools {
   readonly calls: OwnerCalls;
   readonly keepAlive: Pick<KeepAliveTask, 'tell'>;
--- a/packages/entry/src/forward/forwarded_transaction.ts
+++ b/packages/entry/src/forward/forwarded_transaction.ts
@@ -12,29 +12,31 @@
 import {decodeAnswer} from './wire_reply.js';
 import {encodeStatement} from './wire_statement.js';
 
+/** Time limit for the rollback call, which has no deadline of a caller. */
 const ROLLBACK_TIMEOUT_MS = 2_000;
 
-/** A transaction that the owner of the group holds open for this VM. */
+/** A transaction that an owner of the group executes for this VM. */
 export class ForwardedTransaction extends TransactionHandle {
   private state: 'open' | 'ended' = 'open';
 
   constructor(
     private readonly id: string,
     private readonly owner: OwnerTarget,
-    private readonly tools: ForwardTools,
+    private readonly deps: ForwardTools,
   ) {
     super();
-    tools.keepAlive.tell({kind: 'opened', transaction: id, owner});
+    deps.keepAlive.tell({kind: 'opened', transaction: id, owner});
   }
 
   /**
-   * A statement without an answer loses the transaction. It is never committed
-   * then, so the owner certainly rolls it back.
+   * Executes a statement in the transaction. If the owner does not answer, the
+   * transaction is reported as lost. It is never committed after that, so the
+   * owner certainly rolls it back.
    */
   override async execute(
     statement: RoutedStatement,
   ): Promise<Result<StatementReply, Refusal>> {
-    const {calls, clock} = this.tools;
+    const {calls, clock} = this.deps;
     const wire = encodeStatement(statement, clock());
     const answer = await calls.executeIn(
       this.owner,
@@ -57,7 +59,7 @@
   override async commit(
     deadline: number,
   ): Promise<Result<StatementReply, Refusal>> {
-    const {calls, clock} = this.tools;
+    const {calls, clock} = this.deps;
     const remainingMs = Math.max(1, deadline - clock());
     const answer = await calls.commit(
       this.owner,
@@ -78,12 +80,12 @@
   override async rollback(): Promise<void> {
     if (this.state === 'ended') return;
     this.end();
-    // Without an answer the owner ends the transaction by its own limit.
-    await this.tools.calls.rollback(this.owner, this.id, ROLLBACK_TIMEOUT_MS);
+    // If the call fails, the owner rolls back when the keep-alives time out.
+    await this.deps.calls.rollback(this.owner, this.id, ROLLBACK_TIMEOUT_MS);
   }
 
   private end(): void {
     this.state = 'ended';
-    this.tools.keepAlive.tell({kind: 'ended', transaction: this.id});
+    this.deps.keepAlive.tell({kind: 'ended', transaction: this.id});
   }
 }
--- a/packages/entry/src/forward/forwarding_executor.ts
+++ b/packages/entry/src/forward/forwarding_executor.ts
@@ -15,15 +15,15 @@
 import {decodeAnswer} from './wire_reply.js';
 import {encodeStatement} from './wire_statement.js';
 
-type Attempt<T> = Result<Result<T, Refusal>, PeerError>;
+type OwnerAnswer<T> = Result<Result<T, Refusal>, PeerError>;
 
-/** Executes statements through the VMs that own the connections of a group. */
+/** Forwards statements to the VMs that own the connections of a group. */
 export class ForwardingExecutor extends GroupExecutor {
-  /** `targets` are tried in their order. */
+  /** `targets` returns the owners in the order in which they are tried. */
   constructor(
     private readonly database: string,
     private readonly targets: () => readonly OwnerTarget[],
-    private readonly tools: ForwardTools,
+    private readonly deps: ForwardTools,
   ) {
     super();
   }
@@ -33,11 +33,11 @@
   ): Promise<Result<StatementReply, Refusal>> {
     return this.tryOwners<StatementReply>(
       statement,
-      mayRepeat(statement),
+      repeatabilityOf(statement),
       async (owner, timeoutMs) => {
-        const answer = await this.tools.calls.forward(
+        const answer = await this.deps.calls.forward(
           owner,
-          encodeStatement(statement, this.tools.clock()),
+          encodeStatement(statement, this.deps.clock()),
           timeoutMs,
         );
         return answer.ok ? ok(decodeAnswer(answer.value)) : answer;
@@ -45,7 +45,10 @@
     );
   }
 
-  /** A transaction without statements may be opened again elsewhere. */
+  /**
+   * Opens a transaction. If an owner does not answer, the next one is tried,
+   * because a transaction without statements has no effect.
+   */
   override begin(
     statement: RoutedStatement,
   ): Promise<Result<TransactionHandle, Refusal>> {
@@ -53,9 +56,9 @@
       statement,
       'repeatable',
       async (owner, timeoutMs) => {
-        const answer = await this.tools.calls.begin(
+        const answer = await this.deps.calls.begin(
           owner,
-          encodeStatement(statement, this.tools.clock()),
+          encodeStatement(statement, this.deps.clock()),
           timeoutMs,
         );
         if (!answer.ok) return answer;
@@ -65,7 +68,7 @@
             new ForwardedTransaction(
               answer.value.transaction,
               owner,
-              this.tools,
+              this.deps,
             ),
           ),
         );
@@ -74,14 +77,14 @@
   }
 
   /**
-   * Tries one owner after the other. A statement that may have been executed is
-   * sent again only if it is repeatable, and then no later refusal may say that
-   * it was not run.
+   * Sends a statement to one owner after the other. After an owner did not
+   * answer, the statement may have been executed: it is sent again only if it
+   * is repeatable, and no later refusal may report it as not run.
    */
   private async tryOwners<T>(
     statement: RoutedStatement,
     repetition: 'repeatable' | 'once',
-    send: (owner: OwnerTarget, timeoutMs: number) => Promise<Attempt<T>>,
+    send: (owner: OwnerTarget, timeoutMs: number) => Promise<OwnerAnswer<T>>,
   ): Promise<Result<T, Refusal>> {
     let refusal: Refusal = {
       kind: 'no-member',
@@ -90,9 +93,9 @@
     let unanswered: string | undefined;
     const targets = this.targets();
     for (const [index, owner] of targets.entries()) {
-      const remaining = statement.deadline - this.tools.clock();
+      const remaining = statement.deadline - this.deps.clock();
       if (remaining <= 0) break;
-      // Leaves time for another owner when this one does not answer.
+      // Leaves time for the next owner if this one does not answer.
       const mayRetry =
         repetition === 'repeatable' && index < targets.length - 1;
       const attempt = await send(
@@ -102,7 +105,7 @@
       if (attempt.ok) {
         if (attempt.value.ok) return attempt.value;
         refusal = attempt.value.err;
-        if (!isElsewherePossible(refusal)) break;
+        if (!mayTryNextOwner(refusal)) break;
       } else if (attempt.err.kind === 'no-answer') {
         unanswered = `${owner.vm} did not answer: ${attempt.err.detail}`;
         if (repetition === 'once') break;
@@ -116,14 +119,15 @@
   }
 }
 
-function mayRepeat(statement: RoutedStatement): 'repeatable' | 'once' {
+/** Whether a statement may be sent again after it may have been executed. */
+function repeatabilityOf(statement: RoutedStatement): 'repeatable' | 'once' {
   const {route, changesData} = statement;
   return route.repeatable || (route.access === 'read' && !changesData)
     ? 'repeatable'
     : 'once';
 }
 
-/** Whether another owner may serve what this one refused. */
-function isElsewherePossible(refusal: Refusal): boolean {
+/** Whether another owner may execute a statement that this one refused. */
+function mayTryNextOwner(refusal: Refusal): boolean {
   return refusal.kind === 'draining' || refusal.kind === 'no-member';
 }
--- a/packages/entry/src/forward/keep_alive_task.ts
+++ b/packages/entry/src/forward/keep_alive_task.ts
@@ -1,8 +1,10 @@
 import {Task} from '@pistachiorill/tasks';
 import type {OwnerCalls, OwnerTarget} from './owner_calls.js';
 
+/** Interval between two keep-alives, and the time limit for each. */
 export const KEEP_ALIVE_INTERVAL_MS = 1_000;
 
+/** Messages that a `KeepAliveTask` handles. */
 export type KeepAliveMessage =
   | {
       readonly kind: 'opened';
@@ -12,7 +14,10 @@
   | {readonly kind: 'ended'; readonly transaction: string}
   | {readonly kind: 'send'};
 
-/** Names the open forwarded transactions of this VM to their owners. */
+/**
+ * Sends the ids of this VM's open forwarded transactions to their owners at a
+ * fixed interval. An owner rolls back a transaction that is no longer listed.
+ */
 export class KeepAliveTask extends Task<KeepAliveMessage> {
   private readonly open = new Map<string, OwnerTarget>();
   private readonly timer: NodeJS.Timeout;
@@ -54,12 +59,12 @@
   private send(): void {
     const byAddress = new Map<string, {owner: OwnerTarget; ids: string[]}>();
     for (const [transaction, owner] of this.open) {
-      const group = byAddress.get(owner.address) ?? {owner, ids: []};
-      group.ids.push(transaction);
-      byAddress.set(owner.address, group);
+      const batch = byAddress.get(owner.address) ?? {owner, ids: []};
+      batch.ids.push(transaction);
+      byAddress.set(owner.address, batch);
     }
     for (const {owner, ids} of byAddress.values()) {
-      // A lost message is made good by the next one.
+      // A lost keep-alive needs no retry, since the next one replaces it.
       void this.calls.keepAlive(owner, ids, KEEP_ALIVE_INTERVAL_MS);
     }
   }
--- a/packages/entry/src/forward/owner_calls.ts
+++ b/packages/entry/src/forward/owner_calls.ts
@@ -7,27 +7,31 @@
 } from '@pistachiorill/peers';
 import {PeerClients} from '../peers/peer_clients.js';
 
+/** Time limit for sending one failover report. */
 const REPORT_TIMEOUT_MS = 500;
 
-/** An owner of a group with the address at which it is called. */
+/** An owner of a group and the address at which it is called. */
 export interface OwnerTarget extends OwnerView {
   readonly address: string;
 }
 
-/** Calls the owners of groups; replaced by a fake in tests. */
+/** The calls to owners of groups. Tests replace them with a fake. */
 export abstract class OwnerCalls {
+  /** Executes an autocommit statement at the owner. */
   abstract forward(
     owner: OwnerTarget,
     statement: WireStatement,
     timeoutMs: number,
   ): Promise<Result<ForwardAnswer, PeerError>>;
 
+  /** Opens a transaction at the owner. */
   abstract begin(
     owner: OwnerTarget,
     statement: WireStatement,
     timeoutMs: number,
   ): Promise<Result<BeginAnswer, PeerError>>;
 
+  /** Executes a statement in a transaction that the owner has open. */
   abstract executeIn(
     owner: OwnerTarget,
     transaction: string,
@@ -35,6 +39,7 @@
     timeoutMs: number,
   ): Promise<Result<ForwardAnswer, PeerError>>;
 
+  /** Commits a transaction. The owner must finish within `remainingMs`. */
   abstract commit(
     owner: OwnerTarget,
     transaction: string,
@@ -42,12 +47,14 @@
     timeoutMs: number,
   ): Promise<Result<ForwardAnswer, PeerError>>;
 
+  /** Rolls a transaction back. */
   abstract rollback(
     owner: OwnerTarget,
     transaction: string,
     timeoutMs: number,
   ): Promise<Result<void, PeerError>>;
 
+  /** Lists the open transactions of this VM, which the owner then keeps. */
   abstract keepAlive(
     owner: OwnerTarget,
     transactions: readonly string[],
@@ -55,7 +62,7 @@
   ): Promise<Result<void, PeerError>>;
 }
 
-/** Calls owners over tRPC. */
+/** Calls the owners over tRPC. */
 export class PeerOwnerCalls extends OwnerCalls {
   private readonly clients = new PeerClients();
 
@@ -110,7 +117,7 @@
     return this.to(owner).keepAlive(req, {timeoutMs});
   }
 
-  /** Sends a failover report. A lost one is followed by the next. */
+  /** Sends a failover report once. A lost report is replaced by the next one. */
   async report(owner: OwnerTarget, report: FailoverReport): Promise<void> {
     await this.to(owner).report(report, {timeoutMs: REPORT_TIMEOUT_MS});
   }
--- a/packages/entry/src/forward/owner_task.ts
+++ b/packages/entry/src/forward/owner_task.ts
@@ -24,25 +24,28 @@
 import {decodeStatement} from './wire_statement.js';
 
 /**
- * A transaction ends when its forwarding VM has not named it for this time;
- * five messages in a row are lost by then.
+ * A transaction is rolled back when its forwarding VM has not listed it in a
+ * keep-alive for this time: five keep-alives in a row are then missing.
  */
-export const KEEP_ALIVE_LIMIT_MS = 5_000;
+export const KEEP_ALIVE_TIMEOUT_MS = 5_000;
 
+/** Interval between two checks for transactions without keep-alives. */
 const SWEEP_INTERVAL_MS = 500;
 
-interface HeldTransaction {
+interface OpenTransaction {
   readonly handle: TransactionHandle;
-  heardAt: number;
+  /** Time of the last keep-alive or statement. */
+  lastActiveAt: number;
 }
 
-type Answer = Reply<ForwardAnswer>;
+type ForwardReply = Reply<ForwardAnswer>;
 
+/** Messages that an `OwnerTask` handles. */
 export type OwnerMessage =
   | {
       readonly kind: 'forward';
       readonly req: ForwardRequest;
-      readonly reply: Answer;
+      readonly reply: ForwardReply;
     }
   | {
       readonly kind: 'begin';
@@ -58,34 +61,39 @@
   | {
       readonly kind: 'execute-in';
       readonly req: ExecuteInRequest;
-      readonly reply: Answer;
+      readonly reply: ForwardReply;
     }
   | {
       readonly kind: 'commit';
       readonly req: CommitRequest;
-      readonly reply: Answer;
+      readonly reply: ForwardReply;
     }
   | {readonly kind: 'rollback'; readonly transaction: string}
   | {readonly kind: 'keep-alive'; readonly transactions: readonly string[]}
   | {readonly kind: 'finished'}
   | {readonly kind: 'sweep'};
 
-/** What the owner's side needs of its VM. */
-export interface OwnerTools {
-  /** Finds the executor over this VM's own connections, if it owns the group. */
+/** The collaborators of an `OwnerTask`. */
+export interface OwnerDependencies {
+  /** Returns the executor over this VM's connections if it owns the group. */
   readonly local: (database: string) => GroupExecutor | undefined;
+  /** Undefined until the first configuration is applied. */
   readonly context: () => StatementContext | undefined;
   readonly clock: Clock;
   readonly onFault: (err: unknown) => void;
 }
 
-/** Owns the work that other VMs have forwarded to this one. */
+/**
+ * Executes the statements that other VMs forward to this VM, and owns the
+ * transactions that it has open for them.
+ */
 export class OwnerTask extends Task<OwnerMessage> {
-  private readonly transactions = new Map<string, HeldTransaction>();
+  private readonly transactions = new Map<string, OpenTransaction>();
+  /** The number of forwarded calls in progress. */
   private running = 0;
   private readonly timer: NodeJS.Timeout;
 
-  constructor(private readonly tools: OwnerTools) {
+  constructor(private readonly deps: OwnerDependencies) {
     super();
     this.timer = setInterval(
       () => this.tell({kind: 'sweep'}),
@@ -93,7 +101,7 @@
     );
   }
 
-  /** Whether forwarded work is under way, which a planned stop waits for. */
+  /** Whether forwarded work is in progress, which a planned stop waits for. */
   get activity(): 'idle' | 'busy' {
     return this.running + this.transactions.size > 0 ? 'busy' : 'idle';
   }
@@ -112,7 +120,7 @@
         this.begin(message.req, message.reply);
         return;
       case 'begun':
-        this.begun(message);
+        this.registerTransaction(message);
         return;
       case 'execute-in':
         this.executeIn(message.req, message.reply);
@@ -136,10 +144,10 @@
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.onFault(err);
+    this.deps.onFault(err);
   }
 
-  private forward(req: ForwardRequest, reply: Answer): void {
+  private forward(req: ForwardRequest, reply: ForwardReply): void {
     const ready = this.admit(req.statement.database);
     if (!ready.ok) {
       reply.answer(ready);
@@ -149,7 +157,7 @@
     const statement = decodeStatement(
       req.statement,
       context,
-      this.tools.clock(),
+      this.deps.clock(),
     );
     this.run(executor.execute(statement), reply);
   }
@@ -164,7 +172,7 @@
     const statement = decodeStatement(
       req.statement,
       context,
-      this.tools.clock(),
+      this.deps.clock(),
     );
     this.running++;
     void executor
@@ -177,27 +185,33 @@
         const handle = result.value;
         this.tell({kind: 'begun', id: randomUUID(), handle, reply});
       })
-      .catch(this.tools.onFault)
+      .catch(this.deps.onFault)
       .finally(() => this.tell({kind: 'finished'}));
   }
 
-  private begun(message: Extract<OwnerMessage, {kind: 'begun'}>): void {
+  private registerTransaction(
+    message: Extract<OwnerMessage, {kind: 'begun'}>,
+  ): void {
     const {id, handle, reply} = message;
-    this.transactions.set(id, {handle, heardAt: this.tools.clock()});
+    this.transactions.set(id, {handle, lastActiveAt: this.deps.clock()});
     reply.answer({ok: true, transaction: id});
   }
 
-  private executeIn(req: ExecuteInRequest, reply: Answer): void {
-    const held = this.transactions.get(req.transaction);
-    const context = this.tools.context();
-    if (!held || !context) {
-      reply.answer(fail(lost()));
+  private executeIn(req: ExecuteInRequest, reply: ForwardReply): void {
+    const open = this.transactions.get(req.transaction);
+    const context = this.deps.context();
+    if (!open || !context) {
+      reply.answer(fail(transactionLost()));
       return;
     }
-    held.heardAt = this.tools.clock();
-    const statement = decodeStatement(req.statement, context, held.heardAt);
+    open.lastActiveAt = this.deps.clock();
+    const statement = decodeStatement(
+      req.statement,
+      context,
+      open.lastActiveAt,
+    );
     this.run(
-      held.handle.execute(statement).then(result => {
+      open.handle.execute(statement).then(result => {
         if (!result.ok && result.err.kind === 'transaction-lost') {
           this.tell({kind: 'rollback', transaction: req.transaction});
         }
@@ -207,48 +221,50 @@
     );
   }
 
-  private commit(req: CommitRequest, reply: Answer): void {
-    const held = this.transactions.get(req.transaction);
-    if (!held) {
-      reply.answer(fail(lost()));
+  private commit(req: CommitRequest, reply: ForwardReply): void {
+    const open = this.transactions.get(req.transaction);
+    if (!open) {
+      reply.answer(fail(transactionLost()));
       return;
     }
     this.transactions.delete(req.transaction);
-    const deadline = this.tools.clock() + req.remainingMs;
-    this.run(held.handle.commit(deadline), reply);
+    const deadline = this.deps.clock() + req.remainingMs;
+    this.run(open.handle.commit(deadline), reply);
   }
 
   private rollback(transaction: string): void {
-    const held = this.transactions.get(transaction);
-    if (!held) return;
+    const open = this.transactions.get(transaction);
+    if (!open) return;
     this.transactions.delete(transaction);
     this.running++;
-    void held.handle
+    void open.handle
       .rollback()
-      .catch(this.tools.onFault)
+      .catch(this.deps.onFault)
       .finally(() => this.tell({kind: 'finished'}));
   }
 
   private keepAlive(transactions: readonly string[]): void {
-    const now = this.tools.clock();
+    const now = this.deps.clock();
     for (const id of transactions) {
-      const held = this.transactions.get(id);
-      if (held) held.heardAt = now;
+      const open = this.transactions.get(id);
+      if (open) open.lastActiveAt = now;
     }
   }
 
+  /** Rolls back transactions whose keep-alives have timed out. */
   private sweep(): void {
-    const now = this.tools.clock();
-    for (const [id, held] of [...this.transactions]) {
-      if (now - held.heardAt > KEEP_ALIVE_LIMIT_MS) this.rollback(id);
+    const now = this.deps.clock();
+    for (const [id, open] of [...this.transactions]) {
+      if (now - open.lastActiveAt > KEEP_ALIVE_TIMEOUT_MS) this.rollback(id);
     }
   }
 
+  /** Refuses new work while this VM drains or does not own the group. */
   private admit(
     database: string,
   ): Result<{executor: GroupExecutor; context: StatementContext}, Refusal> {
-    const context = this.tools.context();
-    const executor = this.tools.local(database);
+    const context = this.deps.context();
+    const executor = this.deps.local(database);
     if (!context || context.lifecycle === 'draining') {
       return fail({kind: 'draining', detail: 'the owner takes no new work'});
     }
@@ -258,15 +274,16 @@
     return ok({executor, context});
   }
 
+  /** Answers with the outcome of the work, and counts it as in progress. */
   private run(
     work: Promise<Result<StatementReply, Refusal>>,
-    reply: Answer,
+    reply: ForwardReply,
   ): void {
     this.running++;
     void work
       .then(result => reply.answer(encodeAnswer(result)))
       .catch((err: unknown) => {
-        this.tools.onFault(err);
+        this.deps.onFault(err);
         const detail = 'the owner failed';
         reply.answer(fail({kind: 'outcome-unknown', detail}));
       })
@@ -274,8 +291,11 @@
   }
 }
 
-/** The id is unknown only after a rollback: a commit is sent once. */
-function lost(): Refusal {
+/**
+ * The refusal for an unknown id. Since a commit is sent only once, an id is
+ * unknown only after a rollback.
+ */
+function transactionLost(): Refusal {
   return {
     kind: 'transaction-lost',
     detail: 'the owner has rolled the transaction back',
--- a/packages/entry/src/forward/wire_reply.ts
+++ b/packages/entry/src/forward/wire_reply.ts
@@ -7,7 +7,7 @@
 } from '@pistachiorill/core';
 import type {ForwardAnswer, WireReply} from '@pistachiorill/peers';
 
-/** Encodes the outcome of a forwarded statement; cells travel as base64. */
+/** Encodes the outcome of a forwarded statement; cells are sent as base64. */
 export function encodeAnswer(
   result: Result<StatementReply, Refusal>,
 ): ForwardAnswer {
@@ -23,6 +23,7 @@
   };
 }
 
+/** Decodes the outcome that an owner has sent. */
 export function decodeAnswer(
   answer: ForwardAnswer,
 ): Result<StatementReply, Refusal> {
--- a/packages/entry/src/forward/wire_statement.ts
+++ b/packages/entry/src/forward/wire_statement.ts
@@ -1,7 +1,7 @@
 import type {RoutedStatement, StatementContext} from '@pistachiorill/core';
 import type {WireStatement} from '@pistachiorill/peers';
 
-/** Encodes a statement for the owner of its group. */
+/** Encodes a statement for an owner of its group, with times as durations. */
 export function encodeStatement(
   statement: RoutedStatement,
   now: number,
@@ -25,9 +25,9 @@
 }
 
 /**
- * Decodes a statement at the owner. Its arrival and deadline are placed on the
- * owner's clock too late by the time on the way, so a proof that must be newer
- * than the arrival is never too old.
+ * Decodes a statement at the owner. On the owner's clock the arrival and the
+ * deadline are late by the network delay, so a proof that must be newer than
+ * the arrival is never too old.
  */
 export function decodeStatement(
   wire: WireStatement,
--- a/packages/entry/src/routing/__tests__/plan_routing.test.ts
+++ b/packages/entry/src/routing/__tests__/plan_routing.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, it} from 'vitest';
 import type {MembershipView} from '../../membership/membership_view.js';
 import {planRouting} from '../plan_routing.js';
-import type {GroupPlan} from '../plan_routing.js';
+import type {GroupRoutingPlan} from '../plan_routing.js';
 
 const GROUP = {database: 'ledger-1', connectionLimit: 15};
 
@@ -34,7 +34,7 @@
   return {version, vms: members};
 }
 
-function summary(plan: GroupPlan) {
+function summary(plan: GroupRoutingPlan) {
   return {
     role: plan.role,
     ownerCount: plan.ownerCount,
@@ -45,15 +45,15 @@
 }
 
 describe('planRouting', () => {
-  // Guards against a VM that takes all connections because it has just started
-  // and knows no other VM.
+  // Guards against a VM that claims all connections just after its start,
+  // because it has not discovered any other VM yet.
   it.each([
-    ['nothing is known', viewOf({peers: [], discovery: 'pending'})],
+    ['discovery is pending', viewOf({peers: [], discovery: 'pending'})],
     [
-      'others are only listed',
+      'others are candidates',
       viewOf({peers: [], candidates: ['a2', 'b1'].map(record)}),
     ],
-    ['all are heard of', viewOf({})],
+    ['all are alive', viewOf({})],
     [
       'one is down',
       viewOf({peers: [entry('a2', 'down'), entry('b1'), entry('c1')]}),
@@ -65,8 +65,8 @@
     }).toMatchSnapshot();
   });
 
-  // Guards against more connections than a member accepts while an earlier
-  // owner still holds its part.
+  // Guards against exceeding the connection limit of a member while an earlier
+  // owner still has its share of the connections open.
   it('waits until earlier owners have applied the ledger', () => {
     const before = viewOf({ledger: ledger(1, 'a2', 'b1', 'c1')});
     const first = planRouting(GROUP, 'direct', before, undefined);
--- a/packages/entry/src/routing/group_directory.ts
+++ b/packages/entry/src/routing/group_directory.ts
@@ -14,52 +14,57 @@
 import type {GroupTask} from '../group/group_task.js';
 import type {MembershipView} from '../membership/membership_view.js';
 import {planRouting} from './plan_routing.js';
-import type {GroupPlan} from './plan_routing.js';
+import type {GroupRoutingPlan} from './plan_routing.js';
 
-/** A group that is given up lives on until its statements have ended. */
-const RETIRE_MS = 30_000;
+/** Time for which a group that is no longer owned may finish its statements. */
+const RETIREMENT_GRACE_MS = 30_000;
 
-/** A group that this VM owns. */
+/** The tasks and the executor of a group that this VM owns. */
 export interface OwnedGroup {
   readonly task: GroupTask;
   readonly executor: GroupExecutor;
   readonly failover: FailoverTask;
 }
 
-/** What the directory needs of the daemon. */
+/** The collaborators and settings of a `GroupDirectory`. */
 export interface DirectoryTools {
   readonly mode: RoutingMode;
   readonly forward: ForwardTools;
+  /** Starts the tasks of a group that this VM now owns. */
   readonly create: (database: string) => OwnedGroup;
 }
 
-/** Decides for each group whether this VM connects to it or forwards. */
+/**
+ * Maps each database to its group. Decides whether this VM owns connections to
+ * the group or forwards statements to the owners, and follows changes of the
+ * configuration and the membership.
+ */
 export class GroupDirectory {
-  private readonly plans = new Map<string, GroupPlan>();
+  private readonly plans = new Map<string, GroupRoutingPlan>();
   private readonly owned = new Map<string, OwnedGroup>();
   private readonly forwarding = new Map<string, ForwardingExecutor>();
   private configuration: Configuration | undefined;
   private view: MembershipView | undefined;
 
-  constructor(private readonly tools: DirectoryTools) {}
+  constructor(private readonly deps: DirectoryTools) {}
 
-  /** Takes a new configuration, which may change members and limits. */
+  /** Applies a new configuration, which may change members and limits. */
   configure(configuration: Configuration): void {
     this.configuration = configuration;
-    const served = new Set(configuration.databases.map(item => item.name));
+    const configured = new Set(configuration.databases.map(item => item.name));
     for (const name of [...this.plans.keys()]) {
-      if (!served.has(name)) this.remove(name);
+      if (!configured.has(name)) this.remove(name);
     }
     this.update('configured');
   }
 
-  /** Takes a new view of the fleet, which may change the owners. */
+  /** Applies a new membership view, which may change the owners. */
   viewChanged(view: MembershipView): void {
     this.view = view;
     this.update('view-changed');
   }
 
-  /** Whether a group can be reached, over own connections or an owner. */
+  /** Whether any group can be reached, over own connections or an owner. */
   get state(): 'pending' | 'reachable' {
     const isReachable = [...this.plans.values()].some(
       plan => plan.role === 'owner' || plan.targets.length > 0,
@@ -67,7 +72,7 @@
     return isReachable ? 'reachable' : 'pending';
   }
 
-  /** The executor for a caller's statements. */
+  /** The executor for callers' statements, if the database is served. */
   executor(database: string): GroupExecutor | undefined {
     return this.local(database) ?? this.forwarding.get(database);
   }
@@ -77,20 +82,20 @@
     return this.owned.get(database)?.executor;
   }
 
-  /** The data connections that this VM may open to a member now. */
+  /** The number of data connections that this VM may now open to a member. */
   allowance(database: string, server: BackendServer): number {
     const plan = this.plans.get(database);
     if (plan?.role !== 'owner') return 0;
     return connectionAllowance(server.connectionLimit, plan.ownerCount);
   }
 
-  /** Takes a failover report of another VM. */
+  /** Passes a failover report of another VM to its group, if owned here. */
   reported(report: FailoverReport): void {
     const group = this.owned.get(report.database);
     group?.failover.tell({kind: 'reported', report});
   }
 
-  /** The VMs that own a group beside this one. */
+  /** The other VMs that own a group. */
   otherOwners(database: string): readonly OwnerTarget[] {
     return this.plans.get(database)?.targets ?? [];
   }
@@ -108,6 +113,7 @@
     }
   }
 
+  /** Plans the routing of every group again and applies the plans. */
   private update(cause: 'configured' | 'view-changed'): void {
     const {configuration, view} = this;
     if (!configuration || !view) return;
@@ -115,13 +121,16 @@
       const servers = serversOf(database, configuration);
       const before = this.plans.get(database.name);
       const plan = planRouting(
-        {database: database.name, connectionLimit: lowestLimit(servers)},
-        this.tools.mode,
+        {
+          database: database.name,
+          connectionLimit: lowestConnectionLimit(servers),
+        },
+        this.deps.mode,
         view,
         before,
       );
       this.plans.set(database.name, plan);
-      this.carryOut(
+      this.applyPlan(
         database.name,
         servers,
         cause === 'configured' ||
@@ -133,7 +142,7 @@
     }
   }
 
-  private carryOut(
+  private applyPlan(
     database: string,
     servers: readonly BackendServer[],
     connections: 'changed' | 'same',
@@ -144,13 +153,13 @@
         new ForwardingExecutor(
           database,
           () => this.plans.get(database)?.targets ?? [],
-          this.tools.forward,
+          this.deps.forward,
         ),
       );
     }
     if (connections === 'same') return;
     if (this.plans.get(database)?.role === 'owner') {
-      const group = this.owned.get(database) ?? this.tools.create(database);
+      const group = this.owned.get(database) ?? this.deps.create(database);
       this.owned.set(database, group);
       group.task.tell({kind: 'configure', servers});
       group.failover.tell({
@@ -159,18 +168,24 @@
         dataCentresInService: this.dataCentresInService(),
       });
     } else {
-      this.retire(database, servers);
+      this.retireGroup(database, servers);
     }
   }
 
-  /** Gives up the connections of a group as its statements end. */
-  private retire(database: string, servers: readonly BackendServer[]): void {
+  /** Gives up a group: its connections are closed as its statements end. */
+  private retireGroup(
+    database: string,
+    servers: readonly BackendServer[],
+  ): void {
     const group = this.owned.get(database);
     if (!group) return;
     this.owned.delete(database);
     group.failover.tell({kind: 'close'});
     group.task.tell({kind: 'configure', servers});
-    setTimeout(() => group.task.tell({kind: 'close'}), RETIRE_MS).unref();
+    setTimeout(
+      () => group.task.tell({kind: 'close'}),
+      RETIREMENT_GRACE_MS,
+    ).unref();
   }
 
   private dataCentresInService(): number {
@@ -179,7 +194,7 @@
   }
 
   private remove(database: string): void {
-    this.retire(database, []);
+    this.retireGroup(database, []);
     this.plans.delete(database);
     this.forwarding.delete(database);
   }
@@ -192,7 +207,7 @@
   return database.members.flatMap(name => serverOf(configuration, name) ?? []);
 }
 
-/** A server in a data centre that is out of service counts as leaving. */
+/** Finds a server. It counts as leaving if its data centre is out of service. */
 function serverOf(
   configuration: Configuration,
   name: string,
@@ -203,6 +218,6 @@
     : server;
 }
 
-function lowestLimit(servers: readonly BackendServer[]): number {
+function lowestConnectionLimit(servers: readonly BackendServer[]): number {
   return Math.min(...servers.map(server => server.connectionLimit));
 }
--- a/packages/entry/src/routing/plan_routing.ts
+++ b/packages/entry/src/routing/plan_routing.ts
@@ -14,35 +14,40 @@
 import type {MembershipView} from '../membership/membership_view.js';
 
 /** How this VM reaches one group. */
-export interface GroupPlan {
-  /** An owner connects to the members, a forwarder calls the owners. */
+export interface GroupRoutingPlan {
+  /** An owner connects to the members; a forwarder calls the owners. */
   readonly role: 'owner' | 'forwarder';
-  /** The number of VMs that the members' connections are divided among. */
+  /** The number of VMs among which the members' connections are divided. */
   readonly ownerCount: number;
   /** The other owners, in the order in which they are called. */
   readonly targets: readonly OwnerTarget[];
-  /** The ledger version that made these VMs owners. */
+  /** The ledger version from which the owners were derived. */
   readonly ledgerVersion: number;
   readonly owners: readonly OwnerCandidate[];
-  /** Earlier owners that may still hold connections. */
+  /** Earlier owners that may still have connections open. */
   readonly releasing: readonly LedgerVm[];
 }
 
-/** Decides who connects to a group. */
+/**
+ * Decides which VMs own the connections to a group. While an earlier owner may
+ * still have connections open, a VM does not become an owner and the connections
+ * are divided among no fewer VMs than before, so that the limit of a member is
+ * never exceeded.
+ */
 export function planRouting(
   group: GroupSize,
   mode: RoutingMode,
   view: MembershipView,
-  previous: GroupPlan | undefined,
-): GroupPlan {
+  previous: GroupRoutingPlan | undefined,
+): GroupRoutingPlan {
   const owners = groupOwners(group, mode, ownerCandidates(view));
-  const releasing = stillReleasing(view, previous);
-  const isSettled = releasing.length === 0;
+  const releasing = ownersStillReleasing(view, previous);
+  const allReleased = releasing.length === 0;
   const isOwner = owners.some(owner => owner.vm === view.self.vm);
   const wasOwner = previous?.role === 'owner';
   return {
-    role: isOwner && (isSettled || wasOwner) ? 'owner' : 'forwarder',
-    ownerCount: isSettled
+    role: isOwner && (allReleased || wasOwner) ? 'owner' : 'forwarder',
+    ownerCount: allReleased
       ? owners.length
       : Math.max(owners.length, previous?.ownerCount ?? 0),
     targets: targetsOf(view, owners),
@@ -53,9 +58,10 @@
 }
 
 /**
- * The VMs that may own connections: those with a share in the ledger. Before
- * there is a ledger these are all that were heard of or are listed, because
- * one that is missed would take connections that are not its own.
+ * Returns the VMs that may own connections: those with a share in the ledger.
+ * Before the first ledger these are all VMs that are running or listed as
+ * candidates, because a VM that is left out of the division would open
+ * connections that belong to the others.
  */
 function ownerCandidates(view: MembershipView): readonly OwnerCandidate[] {
   if (view.ledger.vms.length > 0) return view.ledger.vms;
@@ -71,10 +77,10 @@
   return entry.state === 'alive' || entry.state === 'suspect';
 }
 
-/** Owners under an earlier ledger that have not applied the present one. */
-function stillReleasing(
+/** Returns owners of earlier ledgers that have not applied the current one. */
+function ownersStillReleasing(
   view: MembershipView,
-  previous: GroupPlan | undefined,
+  previous: GroupRoutingPlan | undefined,
 ): LedgerVm[] {
   if (!previous || previous.ledgerVersion === 0) return [];
   const earlier =
@@ -88,16 +94,19 @@
   );
   return [...byInstance.values()].filter(vm => {
     if (vm.instance === view.self.instance) return false;
-    const isHeld = view.ledger.vms.some(item => item.instance === vm.instance);
+    const isListed = view.ledger.vms.some(
+      item => item.instance === vm.instance,
+    );
     const owner = {
       instance: vm.instance,
       appliedLedger: view.appliedLedgers.get(vm.instance) ?? 0,
-      share: isHeld ? ('held' as const) : ('reclaimed' as const),
+      share: isListed ? ('held' as const) : ('reclaimed' as const),
     };
     return mayOpenConnections(view.ledger.version, [owner]) === 'wait';
   });
 }
 
+/** Returns the owners other than this VM, in the order to call them. */
 function targetsOf(
   view: MembershipView,
   owners: readonly OwnerCandidate[],
