--- a/packages/entry/src/caller/__tests__/client_error.test.ts
+++ b/packages/entry/src/caller/__tests__/client_error.test.ts
@@ -5,9 +5,9 @@
 
 const ROW = /^\| `([a-z-]+)` \| (\d+) \| (\w+) \| ([a-z ]+) \|/gm;
 
-// Guards against a guide that tells callers another code or outcome than the
-// program sends.
-it('sends the codes and outcomes of the operators’ guide', () => {
+// Guards against an operators’ guide that documents other codes or outcomes
+// than those that callers receive.
+it('sends the codes and outcomes that the operators’ guide documents', () => {
   const guide = readFileSync(
     new URL('../../../../../docs/operators/errors.md', import.meta.url),
     'utf8',
--- a/packages/entry/src/caller/authenticate_caller.ts
+++ b/packages/entry/src/caller/authenticate_caller.ts
@@ -4,8 +4,9 @@
 import type {HandshakeRequest} from '@pistachiorill/mysql';
 
 /**
- * Finds the workspace and key that a handshake proves. A handshake without a
- * password gives an anonymous caller, who may use open routes only.
+ * Authenticates a handshake against the keys of the workspace that it names. A
+ * handshake without a password yields an anonymous caller, who may use open
+ * routes only.
  */
 export function authenticateCaller(
   req: HandshakeRequest,
--- a/packages/entry/src/caller/client_error.ts
+++ b/packages/entry/src/caller/client_error.ts
@@ -8,9 +8,13 @@
   failed: 'failed',
 };
 
-type OwnKind = Exclude<RefusalKind, 'backend-error'>;
+/** The refusals that originate in the proxy and not in a backend server. */
+type ProxyRefusalKind = Exclude<RefusalKind, 'backend-error'>;
 
-const CODES: Readonly<Record<OwnKind, readonly [number, string]>> = {
+/** The MySQL error number and SQL state of each refusal. */
+const ERROR_CODES: Readonly<
+  Record<ProxyRefusalKind, readonly [number, string]>
+> = {
   'bad-key': [1045, '28000'],
   'unknown-database': [1049, '42000'],
   'unknown-route': [1235, '42000'],
@@ -28,7 +32,10 @@
   'outcome-unknown': [2013, 'HY000'],
 };
 
-/** Encodes a refusal for a MySQL client. The text starts with the outcome. */
+/**
+ * Converts a refusal into an error for a MySQL client. The message starts with
+ * the outcome. Errors of a backend server keep their code and SQL state.
+ */
 export function toClientError(refusal: Refusal): ClientError {
   const outcome = OUTCOME_TEXT[outcomeOf(refusal)];
   if (refusal.kind === 'backend-error') {
@@ -38,7 +45,7 @@
       message: `${outcome}: ${refusal.detail}`,
     };
   }
-  const [errno, sqlState] = CODES[refusal.kind];
+  const [errno, sqlState] = ERROR_CODES[refusal.kind];
   return {
     errno,
     sqlState,
--- a/packages/entry/src/caller/connection_task.ts
+++ b/packages/entry/src/caller/connection_task.ts
@@ -24,10 +24,16 @@
 import {authenticateCaller} from './authenticate_caller.js';
 import {toClientError} from './client_error.js';
 import type {ExecutorLookup} from './execute_filter.js';
-import {afterSeeing, tokenOf, tokenResult} from './session.js';
+import {
+  withSeenPosition,
+  sessionTokenOf,
+  sessionTokenResult,
+} from './session.js';
 
+/** The version that the handshake reports to MySQL clients. */
 const SERVER_VERSION = '8.0.0-pistachiorill';
 
+/** Messages that a `ConnectionTask` handles. */
 export type ConnectionMessage =
   | {readonly kind: 'query'; readonly sql: string; readonly receivedAt: number}
   | {readonly kind: 'unsupported'; readonly reason: string}
@@ -35,7 +41,7 @@
   | {readonly kind: 'transaction-idle'}
   | {readonly kind: 'closed'};
 
-/** The pipelines and tools that all connections of a VM share. */
+/** The pipelines and collaborators that all connections of a VM share. */
 export interface ConnectionTools {
   readonly parse: Pipeline<ReceivedStatement, ParsedStatement, Refusal>;
   readonly route: Pipeline<ParsedStatement, RoutedStatement, Refusal>;
@@ -43,14 +49,18 @@
   readonly executors: ExecutorLookup;
   /** Undefined until the first configuration is applied. */
   readonly context: () => StatementContext | undefined;
-  /** How long a transaction may wait for its caller's next statement. */
+  /** How long a transaction may stay idle before it is rolled back. */
   readonly transactionIdleMs: number;
   readonly clock: Clock;
   readonly log: Logger;
   readonly metrics: Metrics;
 }
 
-/** The state of the connection's transaction, as its caller must see it. */
+/**
+ * The state of the connection's transaction as its caller sees it. After BEGIN
+ * it is `begun`, and `open` from its first statement on. A `lost` transaction
+ * refuses statements until the caller ends it.
+ */
 type TransactionState =
   | {readonly kind: 'none'}
   | {readonly kind: 'begun'}
@@ -63,7 +73,7 @@
 
 const DONE: StatementResult = {kind: 'done', affectedRows: 0, insertId: 0};
 
-/** Owns one caller's connection, its transaction and its session. */
+/** Owns the connection of one caller, its transaction and its session. */
 export class ConnectionTask extends Task<ConnectionMessage> {
   private readonly connection: ServerConnection;
   private readonly id: string;
@@ -76,15 +86,14 @@
   constructor(
     raw: RawServerConnection,
     id: number,
-    private readonly tools: ConnectionTools,
+    private readonly deps: ConnectionTools,
     private readonly onClosed: () => void,
   ) {
     super();
     this.id = String(id);
     this.connection = new ServerConnection(raw, id, {
       onHandshake: req => this.authenticate(req),
-      onQuery: sql =>
-        this.tell({kind: 'query', sql, receivedAt: tools.clock()}),
+      onQuery: sql => this.tell({kind: 'query', sql, receivedAt: deps.clock()}),
       onUnsupported: reason => this.tell({kind: 'unsupported', reason}),
       onClose: () => this.tell({kind: 'closed'}),
     });
@@ -100,7 +109,7 @@
         this.refuse({kind: 'unsupported', detail: message.reason});
         return;
       case 'context-changed':
-        this.contextChanged();
+        this.closeIfNotPermitted();
         return;
       case 'transaction-idle':
         await this.endIdleTransaction();
@@ -116,7 +125,7 @@
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.log.error(
+    this.deps.log.error(
       {event: 'connection.failed', connection: this.id, err},
       'connection closed after an internal error',
     );
@@ -124,7 +133,7 @@
   }
 
   private authenticate(req: HandshakeRequest): ClientError | undefined {
-    const context = this.tools.context();
+    const context = this.deps.context();
     if (!context) {
       return toClientError({
         kind: 'draining',
@@ -144,9 +153,12 @@
     return undefined;
   }
 
-  /** Closes an idle connection that may do no more work. */
-  private contextChanged(): void {
-    const context = this.tools.context();
+  /**
+   * Closes the connection if its key was revoked, or if this VM drains and no
+   * transaction is in progress.
+   */
+  private closeIfNotPermitted(): void {
+    const context = this.deps.context();
     if (!context) return;
     const {caller} = this;
     const granted =
@@ -160,20 +172,20 @@
       this.closeWith({kind: 'bad-key', detail: 'the key was withdrawn'});
       return;
     }
-    const idle = this.transaction.kind === 'none';
-    if (idle && context.lifecycle === 'draining') {
+    const hasNoTransaction = this.transaction.kind === 'none';
+    if (hasNoTransaction && context.lifecycle === 'draining') {
       this.closeWith({kind: 'draining', detail: 'this VM takes no new work'});
     }
   }
 
-  /** Closes the connection; a request on its way gets the refusal. */
+  /** Closes the connection. A request already on its way gets the refusal. */
   private closeWith(refusal: Refusal): void {
     this.connection.closeWith(toClientError(refusal));
   }
 
   /**
-   * Rolls back a transaction that its caller left open, because it holds one
-   * of the few connections to the primary.
+   * Rolls back a transaction that stayed idle for too long, because it occupies
+   * one of the few connections to the primary.
    */
   private async endIdleTransaction(): Promise<void> {
     if (this.transaction.kind !== 'open') return;
@@ -181,21 +193,22 @@
     this.transaction = {kind: 'lost'};
   }
 
-  private watchTransaction(): void {
+  /** Restarts the time limit of an open transaction for its next statement. */
+  private restartIdleTimer(): void {
     clearTimeout(this.idleTimer);
     if (this.transaction.kind !== 'open') return;
     this.idleTimer = setTimeout(
       () => this.tell({kind: 'transaction-idle'}),
-      this.tools.transactionIdleMs,
+      this.deps.transactionIdleMs,
     );
   }
 
   private async query(sql: string, receivedAt: number): Promise<void> {
     clearTimeout(this.idleTimer);
-    const context = this.tools.context();
-    // A request that arrived before a close was answered by the close.
+    const context = this.deps.context();
+    // If the connection was closed, the close has answered this request.
     if (!context || !this.connection.isOpen) return;
-    const parsed = await this.tools.parse.run({
+    const parsed = await this.deps.parse.run({
       connectionId: this.id,
       caller: this.caller,
       databaseName: this.databaseName,
@@ -205,14 +218,14 @@
       context,
     });
     const result = parsed.ok ? await this.dispatch(parsed.value) : parsed;
-    this.count(result);
+    this.countStatement(result);
     if (result.ok) {
       this.connection.sendResult(result.value);
     } else {
       this.refuse(result.err);
     }
-    this.watchTransaction();
-    this.contextChanged();
+    this.restartIdleTimer();
+    this.closeIfNotPermitted();
   }
 
   private async dispatch(
@@ -222,7 +235,7 @@
       case 'no-effect':
         return ok(DONE);
       case 'session-token':
-        return ok(tokenResult(this.token(statement)));
+        return ok(sessionTokenResult(this.token(statement)));
       case 'begin':
         return this.begin();
       case 'commit':
@@ -243,11 +256,11 @@
         detail: 'the transaction has failed; send ROLLBACK first',
       });
     }
-    const routed = await this.tools.route.run(this.withSession(statement));
+    const routed = await this.deps.route.run(this.withSession(statement));
     if (!routed.ok) return routed;
     const reply =
       this.transaction.kind === 'none'
-        ? await this.tools.execute.run(routed.value)
+        ? await this.deps.execute.run(routed.value)
         : await this.executeInTransaction(routed.value);
     return this.finish(routed.value, reply);
   }
@@ -264,7 +277,10 @@
     return result;
   }
 
-  /** Opens the transaction with its first statement, which names the database. */
+  /**
+   * Opens the transaction with its first statement, since only that determines
+   * the database.
+   */
   private async openTransaction(
     statement: RoutedStatement,
   ): Promise<Result<TransactionHandle, Refusal>> {
@@ -277,7 +293,7 @@
         detail: 'a transaction cannot span databases',
       });
     }
-    const executor = this.tools.executors(statement.database);
+    const executor = this.deps.executors(statement.database);
     const begun = await executor?.begin({
       ...statement,
       changesData: true,
@@ -324,7 +340,7 @@
     );
     if (reply.ok && reply.value.seen) {
       const {database, seen} = reply.value;
-      this.seen = afterSeeing(this.seen, database, seen);
+      this.seen = withSeenPosition(this.seen, database, seen);
     }
     return reply.ok ? ok(reply.value.result) : reply;
   }
@@ -336,12 +352,13 @@
     return ok(DONE);
   }
 
+  /** Records the metrics and the seen position of an executed statement. */
   private finish(
     statement: RoutedStatement,
     reply: Result<StatementReply, Refusal>,
   ): Result<StatementResult, Refusal> {
     if (!reply.ok) return reply;
-    const {metrics, clock} = this.tools;
+    const {metrics, clock} = this.deps;
     const access = statement.changesData ? 'write' : 'read';
     metrics.statementSeconds.observe(
       {access},
@@ -349,11 +366,14 @@
     );
     if (access === 'read') metrics.reads.inc({served_by: reply.value.servedBy});
     const {database, seen} = reply.value;
-    if (seen) this.seen = afterSeeing(this.seen, database, seen);
+    if (seen) this.seen = withSeenPosition(this.seen, database, seen);
     return ok(reply.value.result);
   }
 
-  /** Lets a statement without a token use what this connection has seen. */
+  /**
+   * Adds a token of the positions that this connection has seen to a statement
+   * that has no token of its own.
+   */
   private withSession(statement: ParsedStatement): ParsedStatement {
     if (statement.options.session !== undefined || this.seen.size === 0) {
       return statement;
@@ -364,16 +384,16 @@
 
   private token(statement: ParsedStatement): string {
     const {configuration} = statement.context.current;
-    return tokenOf(this.caller, this.seen, configuration);
+    return sessionTokenOf(this.caller, this.seen, configuration);
   }
 
   private refuse(refusal: Refusal): void {
     this.connection.sendError(toClientError(refusal));
   }
 
-  private count(result: Result<StatementResult, Refusal>): void {
+  private countStatement(result: Result<StatementResult, Refusal>): void {
     const workspace = this.caller.kind === 'keyed' ? this.caller.workspace : '';
     const outcome = result.ok ? 'ok' : result.err.kind;
-    this.tools.metrics.statements.inc({workspace, outcome});
+    this.deps.metrics.statements.inc({workspace, outcome});
   }
 }
--- a/packages/entry/src/caller/execute_filter.ts
+++ b/packages/entry/src/caller/execute_filter.ts
@@ -7,10 +7,10 @@
 } from '@pistachiorill/core';
 import type {GroupExecutor} from '../group/group_executor.js';
 
-/** Finds the executor of a database, if this VM serves it. */
+/** Returns the executor of a database if this VM serves it. */
 export type ExecutorLookup = (database: string) => GroupExecutor | undefined;
 
-/** Hands an autocommit statement to the executor of its database. */
+/** Passes an autocommit statement to the executor of its database. */
 export class ExecuteFilter extends Filter<
   RoutedStatement,
   StatementReply,
--- a/packages/entry/src/caller/session.ts
+++ b/packages/entry/src/caller/session.ts
@@ -15,8 +15,8 @@
 const TYPE_VAR_STRING = 253;
 const TOKEN_COLUMN = '@@pistachiorill_session';
 
-/** Returns the positions of a session after it has seen one more. */
-export function afterSeeing(
+/** Adds a log position to those that a session has seen, if it is newer. */
+export function withSeenPosition(
   seen: SeenPositions,
   database: string,
   at: LogPosition,
@@ -26,8 +26,11 @@
   return new Map([...seen, [database, at]]);
 }
 
-/** The token of a session, or an empty one for a caller without a key. */
-export function tokenOf(
+/**
+ * Returns the signed token of a session. It is empty for an anonymous caller or
+ * a workspace without keys.
+ */
+export function sessionTokenOf(
   caller: Caller,
   seen: SeenPositions,
   configuration: Configuration,
@@ -39,8 +42,8 @@
     : encodeSessionToken(caller.workspace, seen, verifier);
 }
 
-/** The answer to `SELECT @@pistachiorill_session`. */
-export function tokenResult(token: string): StatementResult {
+/** Returns the result of `SELECT @@pistachiorill_session`. */
+export function sessionTokenResult(token: string): StatementResult {
   return {
     kind: 'rows',
     columns: [
