--- a/packages/entry/src/caller/connection_task.ts
+++ b/packages/entry/src/caller/connection_task.ts
@@ -25,9 +25,9 @@
 import {toClientError} from './client_error.js';
 import type {ExecutorLookup} from './execute_filter.js';
 import {
-  withSeenPosition,
   sessionTokenOf,
   sessionTokenResult,
+  withSeenPosition,
 } from './session.js';
 
 /** The version that the handshake reports to MySQL clients. */
@@ -37,7 +37,9 @@
 export type ConnectionMessage =
   | {readonly kind: 'query'; readonly sql: string; readonly receivedAt: number}
   | {readonly kind: 'unsupported'; readonly reason: string}
+  /** The configuration or the lifecycle of this VM has changed. */
   | {readonly kind: 'context-changed'}
+  /** The idle time limit of the open transaction has passed. */
   | {readonly kind: 'transaction-idle'}
   | {readonly kind: 'closed'};
 
@@ -277,10 +279,7 @@
     return result;
   }
 
-  /**
-   * Opens the transaction with its first statement, since only that determines
-   * the database.
-   */
+  /** Opens the transaction with its first statement, to know its database. */
   private async openTransaction(
     statement: RoutedStatement,
   ): Promise<Result<TransactionHandle, Refusal>> {
@@ -370,10 +369,7 @@
     return ok(reply.value.result);
   }
 
-  /**
-   * Adds a token of the positions that this connection has seen to a statement
-   * that has no token of its own.
-   */
+  /** Gives a statement without a token one of what this connection has seen. */
   private withSession(statement: ParsedStatement): ParsedStatement {
     if (statement.options.session !== undefined || this.seen.size === 0) {
       return statement;
--- a/packages/entry/src/forward/__tests__/fakes.ts
+++ b/packages/entry/src/forward/__tests__/fakes.ts
@@ -62,7 +62,7 @@
   },
 };
 
-/** What a scripted call ends with: an error of the call, success or a refusal. */
+/** How a scripted call ends: with a call error, success or a refusal. */
 export type ScriptedAnswer =
   'unreachable' | 'no-answer' | 'done' | Refusal['kind'];
 
--- a/packages/entry/src/forward/__tests__/owner_task.test.ts
+++ b/packages/entry/src/forward/__tests__/owner_task.test.ts
@@ -92,7 +92,7 @@
     expect(executor.log).toEqual(['begin', 'commit']);
   });
 
-  // Guards against forwarding loops, and against new work during a planned stop.
+  // Guards against forwarding loops, and against new work in a planned stop.
   it('refuses groups it does not own, and all new work while draining', async () => {
     const serving = setup();
     const draining = setup({...CONTEXT, lifecycle: 'draining'});
--- a/packages/entry/src/forward/owner_calls.ts
+++ b/packages/entry/src/forward/owner_calls.ts
@@ -117,7 +117,7 @@
     return this.to(owner).keepAlive(req, {timeoutMs});
   }
 
-  /** Sends a failover report once. A lost report is replaced by the next one. */
+  /** Sends a failover report once. The next one replaces a lost report. */
   async report(owner: OwnerTarget, report: FailoverReport): Promise<void> {
     await this.to(owner).report(report, {timeoutMs: REPORT_TIMEOUT_MS});
   }
--- a/packages/entry/src/forward/owner_task.ts
+++ b/packages/entry/src/forward/owner_task.ts
@@ -52,6 +52,7 @@
       readonly req: BeginRequest;
       readonly reply: Reply<BeginAnswer>;
     }
+  /** The transaction of a `begin` was opened. */
   | {
       readonly kind: 'begun';
       readonly id: string;
@@ -70,7 +71,9 @@
     }
   | {readonly kind: 'rollback'; readonly transaction: string}
   | {readonly kind: 'keep-alive'; readonly transactions: readonly string[]}
+  /** An asynchronous call to an executor or a transaction has ended. */
   | {readonly kind: 'finished'}
+  /** Rolls back transactions whose keep-alives have timed out. */
   | {readonly kind: 'sweep'};
 
 /** The collaborators of an `OwnerTask`. */
--- a/packages/entry/src/group/choice_queue.ts
+++ b/packages/entry/src/group/choice_queue.ts
@@ -17,6 +17,7 @@
 /** A statement that waits until a member is chosen for it. */
 export interface PendingChoice {
   readonly request: Omit<MemberRequest, 'avoid'>;
+  /** Time at which the statement is refused if no member was chosen. */
   readonly until: number;
   readonly reply: Reply<Result<ChosenMember, Refusal>>;
 }
--- a/packages/entry/src/group/confirm_filter.ts
+++ b/packages/entry/src/group/confirm_filter.ts
@@ -8,7 +8,7 @@
 import {ask} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
 import type {ExecutedStatement} from './attempt.js';
-import type {QuorumProof, ProofOutcome} from './group_message.js';
+import type {ProofOutcome, QuorumProof} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 
 /**
--- a/packages/entry/src/group/group_message.ts
+++ b/packages/entry/src/group/group_message.ts
@@ -60,17 +60,21 @@
 
 /** Messages that a `GroupTask` handles. */
 export type GroupMessage =
+  /** A poll of a member has ended. */
   | {readonly kind: 'polled'; readonly poll: PollReply}
+  /** Replaces the members of the group. */
   | {
       readonly kind: 'configure';
       readonly servers: readonly BackendServer[];
     }
+  /** Asks for a member to execute a statement, and waits for one if needed. */
   | {
       readonly kind: 'choose';
       readonly request: Omit<MemberRequest, 'avoid'>;
       readonly until: number;
       readonly reply: Reply<Result<ChosenMember, Refusal>>;
     }
+  /** Checks out a connection to a member. */
   | {
       readonly kind: 'acquire';
       readonly backendServer: string;
@@ -79,18 +83,22 @@
       readonly until: number;
       readonly reply: Reply<Result<BackendTask, Refusal>>;
     }
+  /** Returns a connection to its pool. */
   | {
       readonly kind: 'release';
       readonly backend: BackendTask;
       readonly reuse: Reuse;
     }
+  /** Waits for a quorum proof. */
   | {
       readonly kind: 'prove';
       readonly proof: QuorumProof;
       readonly until: number;
       readonly reply: Reply<ProofOutcome>;
     }
+  /** Adds to the retry budget. Sent once per statement, not per attempt. */
   | {readonly kind: 'request-started'}
+  /** Asks whether a failed attempt may be repeated. */
   | {
       readonly kind: 'attempt-failed';
       readonly attempt: FailedAttempt;
@@ -98,11 +106,13 @@
     }
   | {readonly kind: 'view'; readonly reply: Reply<GroupView>}
   | {readonly kind: 'observe'; readonly reply: Reply<GroupObservation>}
+  /** Calls a member over its control connection. */
   | {
       readonly kind: 'control';
       readonly backendServer: string;
       readonly call: ControlCall;
       readonly reply: Reply<ControlResult>;
     }
+  /** Checks for expired deadlines. */
   | {readonly kind: 'tick'}
   | {readonly kind: 'close'};
--- a/packages/entry/src/group/group_task.ts
+++ b/packages/entry/src/group/group_task.ts
@@ -31,25 +31,21 @@
 import type {GroupDependencies} from './group_tools.js';
 import {MemberControlTask} from './member_control_task.js';
 import type {PollPace, PollReply} from './member_control_task.js';
-import {withPollReply, unpolledMemberView} from './member_view_update.js';
+import {unpolledMemberView, withPollReply} from './member_view_update.js';
 import {ProofQueue} from './proof_queue.js';
 
 /** Time limit for one call on the control connection of a member. */
 const CONTROL_TIMEOUT_MS = 500;
-
 /** Delay until the next check for expired deadlines while statements wait. */
 const TICK_DELAY_MS = 20;
 
 /** Limits the statements of one workspace that wait for one member. */
 const MAX_WAITING_PER_WORKSPACE = 200;
 
-/**
- * Owns this VM's view of a database group, the connection pools to its
- * members, and the statements that wait for a member, a connection or a
- * quorum proof.
- */
+/** Owns this VM's view of a group, its connections and waiting statements. */
 export class GroupTask extends Task<GroupMessage> {
   private view: GroupView;
+  /** Recent polls of the primary, which show how old a replica's data is. */
   private freshness: FreshnessLog = [];
   /** The primary as of the last poll that showed one; empty before that. */
   private lastPrimary = '';
@@ -139,11 +135,11 @@
       })),
     };
     const now = this.deps.clock();
-    const since = new Map(this.leavingSince);
+    const earlier = new Map(this.leavingSince);
     this.leavingSince.clear();
     for (const {name, state} of servers) {
       if (state === 'leaving') {
-        this.leavingSince.set(name, since.get(name) ?? now);
+        this.leavingSince.set(name, earlier.get(name) ?? now);
       }
     }
     this.updateAccepting(now);
@@ -181,6 +177,7 @@
     }
   }
 
+  /** Creates or updates the pool of a member and starts to poll it. */
   private connect(server: BackendServer): void {
     const {credentials, clock, allowanceOf, onFault} = this.deps;
     const limits = {connections: allowanceOf(server), slots: server.slots};
@@ -312,9 +309,8 @@
     const name = backend.backendServer;
     // A connection to a member that has left the group is closed.
     const now = this.deps.clock();
-    const returned =
-      this.pools.get(name)?.release(backend, reuse, now) ?? false;
-    if (!returned) backend.tell({kind: 'close'});
+    const found = this.pools.get(name)?.release(backend, reuse, now) ?? false;
+    if (!found) backend.tell({kind: 'close'});
     const outcome = reuse === 'reuse' ? 'answered' : 'transport-error';
     if (outcome === 'transport-error') {
       this.controlTasks.get(name)?.tell({kind: 'poll'});
--- a/packages/entry/src/group/member_control_task.ts
+++ b/packages/entry/src/group/member_control_task.ts
@@ -42,6 +42,7 @@
 /** Messages that a `MemberControlTask` handles. */
 export type MemberControlMessage =
   | {readonly kind: 'poll'}
+  /** Changes how often the member is polled. */
   | {readonly kind: 'pace'; readonly pace: PollPace}
   | (ControlCall & {readonly reply: Reply<ControlResult>})
   | {readonly kind: 'close'};
--- a/packages/entry/src/group/proof_queue.ts
+++ b/packages/entry/src/group/proof_queue.ts
@@ -5,11 +5,14 @@
 } from '@pistachiorill/core';
 import type {GroupView} from '@pistachiorill/core';
 import type {Reply} from '@pistachiorill/tasks';
-import type {QuorumProof, ProofOutcome} from './group_message.js';
+import type {ProofOutcome, QuorumProof} from './group_message.js';
 
+/** A statement that waits for a quorum proof. */
 interface PendingProof {
   readonly proof: QuorumProof;
+  /** Time at which the wait began. */
   readonly since: number;
+  /** Time at which the wait ends without the proof. */
   readonly until: number;
   readonly reply: Reply<ProofOutcome>;
 }
--- a/packages/entry/src/routing/group_directory.ts
+++ b/packages/entry/src/routing/group_directory.ts
@@ -207,7 +207,7 @@
   return database.members.flatMap(name => serverOf(configuration, name) ?? []);
 }
 
-/** Finds a server. It counts as leaving if its data centre is out of service. */
+/** Finds a server. It is leaving if its data centre is out of service. */
 function serverOf(
   configuration: Configuration,
   name: string,
--- a/packages/entry/src/routing/plan_routing.ts
+++ b/packages/entry/src/routing/plan_routing.ts
@@ -23,6 +23,7 @@
   readonly targets: readonly OwnerTarget[];
   /** The ledger version from which the owners were derived. */
   readonly ledgerVersion: number;
+  /** All owners of the group, which may include this VM. */
   readonly owners: readonly OwnerCandidate[];
   /** Earlier owners that may still have connections open. */
   readonly releasing: readonly LedgerVm[];
@@ -30,9 +31,9 @@
 
 /**
  * Decides which VMs own the connections to a group. While an earlier owner may
- * still have connections open, a VM does not become an owner and the connections
- * are divided among no fewer VMs than before, so that the limit of a member is
- * never exceeded.
+ * still have connections open, a VM does not become an owner, and the
+ * connections are divided among no fewer VMs than before. This keeps the total
+ * within the connection limit of each member.
  */
 export function planRouting(
   group: GroupSize,
