--- a/packages/entry/src/caller/connection_task.ts
+++ b/packages/entry/src/caller/connection_task.ts
@@ -279,7 +279,7 @@
     return result;
   }
 
-  /** Opens the transaction with its first statement, to know its database. */
+  /** Opens the transaction at its first statement, which names the database. */
   private async openTransaction(
     statement: RoutedStatement,
   ): Promise<Result<TransactionHandle, Refusal>> {
@@ -369,7 +369,7 @@
     return ok(reply.value.result);
   }
 
-  /** Gives a statement without a token one of what this connection has seen. */
+  /** Adds this connection's session token to a statement that has none. */
   private withSession(statement: ParsedStatement): ParsedStatement {
     if (statement.options.session !== undefined || this.seen.size === 0) {
       return statement;
