--- a/packages/entry/src/quota/__tests__/admit_filter.test.ts
+++ b/packages/entry/src/quota/__tests__/admit_filter.test.ts
@@ -5,7 +5,7 @@
 import {AdmitFilter} from '../admit_filter.js';
 import {QuotaTask} from '../quota_task.js';
 
-/** Records the statements that were admitted. */
+/** Counts the statements that were admitted. */
 class RunFilter extends Filter<RoutedStatement, 'ran', Refusal> {
   override readonly name = 'run';
   count = 0;
@@ -58,8 +58,8 @@
   return `${answer} after ${clock() - arrived} ms`;
 }
 
-// Guards against a refusal of a statement that runs, a wait beyond 200 ms or
-// the deadline, and open callers that use up the rate of a workspace.
+// Guards against a refused statement that runs anyway, a wait beyond 200 ms or
+// the deadline, and anonymous callers that use up the rate of a workspace.
 it('refuses statements above the rate after a bounded wait', async () => {
   await vi.advanceTimersByTimeAsync(1_000);
   const results = [send('co-op'), send('co-op')];
@@ -73,15 +73,15 @@
   }).toMatchSnapshot();
 });
 
-// Guards against a statement that stays without an answer while the VM stops.
-it('refuses the statements that wait when it stops', async () => {
+// Guards against a waiting statement that gets no answer when the VM stops.
+it('refuses waiting statements when the quota task stops', async () => {
   const waiting = send('co-op');
   await vi.advanceTimersByTimeAsync(50);
   await quota.stop();
   expect(await waiting).toMatchSnapshot();
 });
 
-// Guards against a VM that admits or lends from a share that it gave back.
+// Guards against a VM that admits or lends from a share that it has returned.
 it('admits nothing after the use of the share has ended', async () => {
   await vi.advanceTimersByTimeAsync(1_000);
   quota.tell({kind: 'use', use: 'ended'});
--- a/packages/entry/src/quota/__tests__/ledger_task.test.ts
+++ b/packages/entry/src/quota/__tests__/ledger_task.test.ts
@@ -12,8 +12,9 @@
 
 class FakeTable extends TableService {
   row: Row | undefined;
-  late: (() => void) | undefined;
-  answers: 'given' | 'late' = 'given';
+  /** Applies the last write whose answer was lost. */
+  applyLostWrite: (() => void) | undefined;
+  answers: 'given' | 'lost' = 'given';
   state: 'up' | 'down' = 'up';
 
   override read = async () =>
@@ -27,8 +28,8 @@
       return fail({kind: 'conflict' as const, current: row});
     }
     const written = {key, value, version: expected + 1};
-    if (this.answers === 'late') {
-      this.late = () => (this.row = written);
+    if (this.answers === 'lost') {
+      this.applyLostWrite = () => (this.row = written);
       return fail({kind: 'unknown-outcome' as const, detail: 'lost'});
     }
     this.row = written;
@@ -61,7 +62,7 @@
       key: 'ledger',
       table,
       quota: {
-        tell: (message: QuotaTaskMessage) => this.take(message),
+        tell: (message: QuotaTaskMessage) => this.receive(message),
       } as unknown as QuotaTask,
       peers: this.peers,
       activity: () => this.activity,
@@ -75,7 +76,7 @@
     tasks.push(this.task);
   }
 
-  /** Polls, and waits until the poll has been handled. */
+  /** Polls, waits until the poll is handled and returns the share in use. */
   async poll(): Promise<number> {
     return this.tell({kind: 'poll'});
   }
@@ -86,7 +87,7 @@
     return this.sharePpm;
   }
 
-  private take(message: QuotaTaskMessage): void {
+  private receive(message: QuotaTaskMessage): void {
     if (message.kind === 'share') this.sharePpm = message.sharePpm;
     if (message.kind === 'lower-share') {
       this.sharePpm = Math.max(message.toPpm, this.lentPpm);
@@ -95,17 +96,18 @@
   }
 }
 
-// Guards against a VM that uses again what it gave up in a write without an
-// answer: the write can still take effect and give the share to another VM.
+// Guards against a VM that resumes using a share that it gave up in a write
+// without an answer: the write can still take effect and free the share for
+// another VM.
 it('keeps a lowered share out of use until the row has changed', async () => {
   const table = new FakeTable();
   const [a, b] = [new FakeVm('a', table), new FakeVm('b', table)];
   const alone = await a.poll();
   const joining = await b.poll();
-  table.answers = 'late';
+  table.answers = 'lost';
   const lowered = await a.poll();
   const readAgain = await a.poll();
-  table.late?.();
+  table.applyLostWrite?.();
   table.answers = 'given';
   const grown = await b.poll();
   const after = await a.poll();
@@ -122,9 +124,9 @@
   }).toMatchSnapshot();
 });
 
-// Guards against a VM that becomes unconfirmed because the store is down for it
-// while it hears of a newer version, and against content that is out of date.
-it('takes a version that it heard of from a peer', async () => {
+// Guards against a VM that becomes unconfirmed because it cannot read the store
+// when peers report a newer version, and against applying outdated content.
+it('fetches a reported version from a peer in a store outage', async () => {
   const table = new FakeTable();
   const [a, b] = [new FakeVm('a', table), new FakeVm('b', table)];
   await a.poll();
@@ -132,32 +134,32 @@
   await b.poll();
   const newer = table.row;
   table.state = 'down';
-  const unheard = await a.poll();
+  const beforeReport = await a.poll();
   a.peers.row = old;
-  await a.tell({kind: 'heard', version: 2});
+  await a.tell({kind: 'version-reported', version: 2});
   const fromBehind = [...a.applied];
   a.peers.row = newer && {...newer, value: 'damaged'};
   await a.poll();
   a.peers.row = newer;
   const share = await a.poll();
   a.peers.row = old;
-  await a.tell({kind: 'heard', version: 3});
-  expect({unheard, fromBehind, share, applied: a.applied}).toEqual({
-    unheard: 1_000_000,
+  await a.tell({kind: 'version-reported', version: 3});
+  expect({beforeReport, fromBehind, share, applied: a.applied}).toEqual({
+    beforeReport: 1_000_000,
     fromBehind: [0, 1],
     share: 1_000_000,
     applied: [0, 1, 2],
   });
 });
 
-// Guards against a change of a share that leaves no trace because the answer
-// of its write was lost, and against one that is recorded twice.
-it('audits joins, reclaims and returns, also without an answer', async () => {
+// Guards against a share change that is not audited because the answer of its
+// write was lost, and against one that is audited twice.
+it('audits joins, reclaims and returns, also if answers are lost', async () => {
   const table = new FakeTable();
   const [a, b] = [new FakeVm('a', table), new FakeVm('b', table)];
-  table.answers = 'late';
+  table.answers = 'lost';
   await a.poll();
-  table.late?.();
+  table.applyLostWrite?.();
   table.answers = 'given';
   await a.poll();
   await b.poll();
@@ -175,9 +177,9 @@
 });
 
 // Guards against a drained VM that keeps a share which others could use, one
-// that gives it up while its work or a loan needs it, and one that does not
-// get a share again when its data centre returns.
-it('returns the share when it has drained, and joins again', async () => {
+// that returns it while its work or a loan needs it, and one that does not get
+// a share again when its data centre returns.
+it('returns the share when drained and joins again when serving', async () => {
   const table = new FakeTable();
   const vm = new FakeVm('a', table);
   const holders = (): number =>
@@ -199,7 +201,7 @@
   vm.task.tell({kind: 'lifecycle', lifecycle: 'serving'});
   await poll('serving again');
   vm.task.tell({kind: 'lifecycle', lifecycle: 'draining'});
-  table.answers = 'late';
+  table.answers = 'lost';
   await poll('return without an answer');
   table.answers = 'given';
   vm.task.tell({kind: 'lifecycle', lifecycle: 'serving'});
@@ -208,9 +210,9 @@
   expect({steps, audited: vm.audited}).toMatchSnapshot();
 });
 
-// Guards against a second reclaim from the same run of a VM that does not wait
-// because the first one had.
-it('waits again when it reclaims from the same run again', async () => {
+// Guards against a second reclaim from the same VM instance that skips the wait
+// because the first reclaim had waited.
+it('waits again in a second reclaim from the same instance', async () => {
   const table = new FakeTable();
   const [a, b] = [new FakeVm('a', table), new FakeVm('b', table)];
   await a.poll();
--- a/packages/entry/src/quota/__tests__/quota_task.test.ts
+++ b/packages/entry/src/quota/__tests__/quota_task.test.ts
@@ -12,15 +12,15 @@
 beforeEach(() => vi.useFakeTimers());
 afterEach(() => vi.useRealTimers());
 
-/** A lender that grants the same loan, with its tokens, to each request. */
-async function lend(vm: string, {requestId}: LoanRequest) {
+/** Grants the same loan, with 20 tokens, to each request. */
+async function grantLoan(vm: string, {requestId}: LoanRequest) {
   const loan = {ratePpm: LOAN_PPM, burstPpm: LOAN_PPM, tokens: 20};
   const spareTokens = 0;
   const loanId = `${vm}/${requestId}`;
   return {requestId, loanId, ...loan, durationMs: 3_000, spareTokens};
 }
 
-/** Borrows, then counts what the VM admits at once after a time. */
+/** Borrows, pauses, then counts how many of 100 statements are admitted. */
 async function admittedAfter(
   pauseMs: number,
   confirmedFor: number,
@@ -30,7 +30,7 @@
   const clock = (): number => Date.now() - startedAt + paused;
   const quota = new QuotaTask({
     self: 'v1',
-    sendLoanRequest: lend,
+    sendLoanRequest: grantLoan,
     random: new Random(1),
     clock,
     onFault: err => {
@@ -46,13 +46,13 @@
   quota.tell({kind: 'peers', peers: ['v2']});
   quota.tell({kind: 'share', sharePpm: OWN_PPM});
   quota.tell({kind: 'confirmed', until: confirmedFor});
-  // Demand above the own share makes the VM borrow.
+  // Demand above the VM's own share makes it borrow.
   for (let i = 0; i < 50; i++) {
     void admit();
     await vi.advanceTimersByTimeAsync(20);
   }
   await vi.advanceTimersByTimeAsync(1_000);
-  // The clock goes on in a pause, and no timer runs.
+  // During a pause the clock advances but no timer fires.
   paused = pauseMs;
   const outcomes = Array.from({length: 100}, admit);
   await vi.advanceTimersByTimeAsync(100);
@@ -61,8 +61,8 @@
   return all.filter(outcome => outcome === 'admitted').length;
 }
 
-// Guards against loans and an own share that a VM uses after they expired
-// while it was paused. The own share alone holds 5 tokens.
+// Guards against a VM that uses a loan or its own share after they expired
+// during a pause of the VM. The VM's own share holds 5 tokens.
 it('admits nothing from an expired loan after a pause', async () => {
   expect({
     withoutPause: await admittedAfter(0, 60_000),
--- a/packages/entry/src/quota/admit_filter.ts
+++ b/packages/entry/src/quota/admit_filter.ts
@@ -4,7 +4,11 @@
 import type {AdmitOutcome} from './quota_message.js';
 import type {QuotaTask} from './quota_task.js';
 
-/** Admits statements within the rate and burst of their workspace. */
+/**
+ * Rate limit filter: admits a statement when its workspace has a token. A
+ * statement above the rate waits for at most the maximum admission wait, or
+ * until its own deadline if that is earlier, and is then refused.
+ */
 export class AdmitFilter extends Filter<
   RoutedStatement,
   RoutedStatement,
@@ -21,7 +25,7 @@
     now: number,
   ): Promise<Result<RoutedStatement, Refusal>> {
     const {caller, deadline} = statement;
-    // A caller without a workspace has no rate; open routes only reach here.
+    // Anonymous callers arrive only through open routes and have no rate limit.
     if (caller.kind !== 'keyed') return ok(statement);
     const {workspace} = caller;
     const until = Math.min(now + ADMIT_WAIT_MS, deadline);
--- a/packages/entry/src/quota/ledger_peers.ts
+++ b/packages/entry/src/quota/ledger_peers.ts
@@ -1,7 +1,10 @@
 import type {Row} from '@pistachiorill/store';
 
-/** Asks other VMs for the ledger's row while the platform is down. */
+/** Fetches the ledger row from other VMs while the store is unavailable. */
 export abstract class LedgerPeers {
-  /** The row in a version of at least `version`, if a reachable peer has it. */
+  /**
+   * Returns the row at `version` or higher, or undefined if no peer that was
+   * asked has it.
+   */
   abstract newer(version: number): Promise<Row | undefined>;
 }
--- a/packages/entry/src/quota/ledger_step.ts
+++ b/packages/entry/src/quota/ledger_step.ts
@@ -9,57 +9,92 @@
 import type {Ledger, LedgerEntry, PeerRecord} from '@pistachiorill/core';
 import type {AuditEntry} from '@pistachiorill/telemetry';
 
-/** A change of the ledger as the audit trail has it. */
+/** The fields of an audit entry that describe a ledger change. */
 export type LedgerChange = Pick<
   AuditEntry,
   'action' | 'subject' | 'before' | 'after'
 >;
 
-/** The ledger that a VM wants to write. */
+/** A ledger to write, with the audit entry for the change. */
 export interface LedgerStep {
   readonly ledger: Ledger;
-  /** Undefined for changes that are not audited, such as balancing. */
+  /** Undefined for unaudited changes, such as balancing. */
   readonly change: LedgerChange | undefined;
 }
 
-/** The changes of the ledger, each with its audit entry. */
+/**
+ * Builds the ledger changes that a VM can write. Every change except balancing
+ * has an audit entry.
+ */
 export const LEDGER_STEPS = {
+  /** Adds an entry for this VM. */
   join(ledger: Ledger, self: PeerRecord): LedgerStep {
     const next = joinLedger(ledger, self);
     const joined = entryOf(next, self.instance);
-    const after = joined ? shown(joined) : '';
-    return step(next, 'share-joined', self, 'no share', after);
+    const after = joined ? describeEntry(joined) : '';
+    return auditedStep(next, 'share-joined', self, 'no share', after);
   },
 
-  /** Takes over from a former run of the same VM. */
+  /** Removes the entry of an earlier process of this VM. */
   takeOver(ledger: Ledger, former: LedgerEntry): LedgerStep {
     const next = leaveLedger(ledger, former.instance);
     const after = 'free, as the VM has restarted';
-    return step(next, 'shares-reclaimed', former, shown(former), after);
+    return auditedStep(
+      next,
+      'shares-reclaimed',
+      former,
+      describeEntry(former),
+      after,
+    );
   },
 
+  /** Marks an entry as being reclaimed. */
   startReclaim(ledger: Ledger, entry: LedgerEntry): LedgerStep {
     const next = intendReclaim(ledger, entry.instance);
-    return step(next, 'reclaim-started', entry, shown(entry), 'reclaiming');
+    return auditedStep(
+      next,
+      'reclaim-started',
+      entry,
+      describeEntry(entry),
+      'reclaiming',
+    );
   },
 
+  /** Removes an entry whose reclaim is complete. */
   finishReclaim(ledger: Ledger, entry: LedgerEntry): LedgerStep {
     const next = finishReclaim(ledger, entry.instance);
-    return step(next, 'shares-reclaimed', entry, shown(entry), 'free');
+    return auditedStep(
+      next,
+      'shares-reclaimed',
+      entry,
+      describeEntry(entry),
+      'free',
+    );
   },
 
-  giveBack(ledger: Ledger, entry: LedgerEntry): LedgerStep {
+  /** Removes the entry of this VM when it returns its share. */
+  returnShare(ledger: Ledger, entry: LedgerEntry): LedgerStep {
     const next = leaveLedger(ledger, entry.instance);
-    return step(next, 'share-returned', entry, shown(entry), 'free');
+    return auditedStep(
+      next,
+      'share-returned',
+      entry,
+      describeEntry(entry),
+      'free',
+    );
   },
 
+  /**
+   * Moves a VM's share towards an even share, but not below `keptPpm`, which
+   * covers what the VM has lent.
+   */
   balance(ledger: Ledger, instance: string, keptPpm: number): LedgerStep {
     const next = balanceShare(ledger, instance, keptPpm);
     return {ledger: next, change: undefined};
   },
 } as const;
 
-function step(
+function auditedStep(
   ledger: Ledger,
   action: LedgerChange['action'],
   {vm, instance}: PeerRecord,
@@ -70,6 +105,6 @@
   return {ledger, change: {action, subject, before, after}};
 }
 
-function shown({sharePpm, state}: LedgerEntry): string {
+function describeEntry({sharePpm, state}: LedgerEntry): string {
   return state === 'active' ? `${sharePpm} ppm` : `${sharePpm} ppm, ${state}`;
 }
--- a/packages/entry/src/quota/ledger_task.ts
+++ b/packages/entry/src/quota/ledger_task.ts
@@ -31,40 +31,43 @@
 import type {UnsettledWrite} from './unsettled_writes.js';
 
 const POLL_MS = 1_000;
-/** While a version is known that could not be read. */
+/** Used while another VM has reported a version that is not applied here. */
 const BEHIND_POLL_MS = 200;
-/** After a lost race; random, so that the VMs do not race again. */
+/** The delay after a conflict is random, so that VMs do not collide again. */
 const RETRY_MIN_MS = 20;
-const RETRY_SPREAD_MS = 180;
-/** A VM that restarts quickly takes its share over without a reclaim. */
+const RETRY_JITTER_MS = 180;
+/** Gives a VM time to restart and take over its share without a reclaim. */
 const RECLAIM_AFTER_MS = 10_000;
-/** The time for which loans of a process that has ended may be in use. */
+/** How long loans made by the earlier process of this VM may be in use. */
 const PREDECESSOR_WAIT_MS = SHARE_LOAN_MS * LENDER_MARGIN;
 
-/** Races with other VMs that a VM which stops may lose before it gives up. */
-const LEAVE_ATTEMPTS = 5;
+/** Attempts to return the share when a stopping VM hits write conflicts. */
+const MAX_LEAVE_ATTEMPTS = 5;
 
-type WriteOutcome = 'written' | 'conflict' | 'not-known';
-type GiveBackOutcome = WriteOutcome | 'not-held' | 'lent';
+type WriteOutcome = 'written' | 'conflict' | 'unknown';
+type ReturnOutcome = WriteOutcome | 'not-held' | 'lent';
 
-/** Whether shares of VMs that are down may be taken back. */
+/** Whether the shares of VMs that are down may be reclaimed. */
 export type ReclaimMode = 'allowed' | 'forbidden';
 
+/** Messages to the ledger task. */
 export type LedgerMessage =
   | {readonly kind: 'poll'}
-  /** Some VM is known to know this version. */
-  | {readonly kind: 'heard'; readonly version: number}
+  /** Another VM has reported that this version exists. */
+  | {readonly kind: 'version-reported'; readonly version: number}
   | {
       readonly kind: 'peers';
-      /** The incarnations that are down. */
+      /** The instances of the VMs that are down or have left. */
       readonly down: readonly string[];
+      /** The applied ledger version by VM instance. */
       readonly appliedLedgers: ReadonlyMap<string, number>;
     }
   | {readonly kind: 'reclaim-mode'; readonly mode: ReclaimMode}
   | {readonly kind: 'lifecycle'; readonly lifecycle: Lifecycle}
+  /** Returns the share before the VM stops; answered after the attempt. */
   | {readonly kind: 'leave'; readonly reply: Reply<void>};
 
-/** Adds a change that took effect to the audit trail. */
+/** Adds a change that took effect, or may have, to the audit trail. */
 export type RecordLedgerChange = (
   change: LedgerChange,
   operationId: string,
@@ -73,13 +76,14 @@
 /** The collaborators of the ledger task. */
 export interface LedgerTools {
   readonly self: PeerRecord;
+  /** The key of the ledger row. */
   readonly key: string;
   readonly table: TableService;
   readonly quota: QuotaTask;
   readonly peers: LedgerPeers;
-  /** Called with each higher version, and the row that contains it. */
+  /** Called for each newly applied version, with the row that holds it. */
   readonly onApplied: (members: LedgerMembers, row: Row) => void;
-  /** Whether work is under way that needs the share. */
+  /** Whether this VM has running work that needs the share. */
   readonly activity: () => 'idle' | 'busy';
   readonly record: RecordLedgerChange;
   readonly random: Random;
@@ -87,17 +91,22 @@
   readonly log: Logger;
 }
 
-/** A share that this VM no longer uses, until the write has an outcome. */
+/** A limit on the used share until the outcome of a write is known. */
 interface LoweredShare {
   readonly sharePpm: number;
+  /** The ledger version on which the write was based. */
   readonly expected: number;
 }
 
-/** Owns this VM's entry in the ledger of shares. */
+/**
+ * Owns this VM's entry in the ledger, which divides each workspace's rate into
+ * shares, one for each VM. Polls the row, applies new versions, balances the
+ * share and reclaims the shares of VMs that are down.
+ */
 export class LedgerTask extends Task<LedgerMessage> {
   private readonly startedAt: number;
   private version = -1;
-  private heardVersion = 0;
+  private reportedVersion = 0;
   private membership: 'joined' | 'not-joined' = 'not-joined';
   private lowered: LoweredShare | undefined;
   private lifecycle: Lifecycle = 'serving';
@@ -109,12 +118,12 @@
   private progress = new Map<string, ReclaimProgress>();
   private timer: NodeJS.Timeout | undefined;
 
-  constructor(private readonly tools: LedgerTools) {
+  constructor(private readonly deps: LedgerTools) {
     super();
-    this.startedAt = tools.clock();
+    this.startedAt = deps.clock();
   }
 
-  /** Whether the ledger was read with an entry of this VM. */
+  /** Whether the last applied ledger has an entry for this VM. */
   get state(): 'joined' | 'not-joined' {
     return this.membership;
   }
@@ -129,12 +138,12 @@
       case 'poll':
         this.schedule(await this.poll());
         return;
-      case 'heard':
-        this.heardVersion = Math.max(this.heardVersion, message.version);
+      case 'version-reported':
+        this.reportedVersion = Math.max(this.reportedVersion, message.version);
         if (this.isBehind) this.schedule(await this.poll());
         return;
       case 'peers':
-        this.peersChanged(message.down);
+        this.updateDownPeers(message.down);
         this.applied = message.appliedLedgers;
         return;
       case 'reclaim-mode':
@@ -142,7 +151,7 @@
         return;
       case 'lifecycle':
         this.lifecycle = message.lifecycle;
-        if (message.lifecycle === 'serving') this.hold('share');
+        if (message.lifecycle === 'serving') this.setHolding('share');
         return;
       case 'leave':
         await this.leave();
@@ -152,13 +161,16 @@
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.log.error({event: 'ledger.failed', err}, 'ledger failed');
+    this.deps.log.error({event: 'ledger.failed', err}, 'ledger task failed');
     this.schedule(POLL_MS);
   }
 
-  /** Reads the row, applies it, and writes the change that is due, if any. */
+  /**
+   * Reads and applies the row, then writes the next change, if any. Returns the
+   * delay until the next poll in milliseconds.
+   */
   private async poll(): Promise<number> {
-    const {table, key, self} = this.tools;
+    const {table, key, self} = this.deps;
     const read = await table.read(key);
     if (!read.ok) {
       await this.readFromPeer();
@@ -167,38 +179,38 @@
     const row: Row = read.value ?? {key, value: '', version: 0};
     const ledger = row.value === '' ? EMPTY_LEDGER : parseLedger(row.value);
     this.apply(ledger, row);
-    if (this.lifecycle === 'draining' && this.tools.activity() === 'idle') {
-      this.hold('nothing');
+    if (this.lifecycle === 'draining' && this.deps.activity() === 'idle') {
+      this.setHolding('nothing');
     }
     if (this.holding === 'nothing') {
-      await this.giveBack(ledger, row.version);
+      await this.returnShare(ledger, row.version);
       return POLL_MS;
     }
     let next = this.nextStep(ledger, row.version);
     if (next.ledger === ledger) {
       if (!this.lowered) return POLL_MS;
-      // A new version settles a write without an answer, so that the share
-      // that it would have taken can be used again.
+      // Writing a new version makes an earlier write without an answer fail if
+      // it has not taken effect yet, so the share can be used in full again.
       next = {ledger: {...ledger}, change: undefined};
     }
     const before = shareOf(ledger, self.instance);
     const after = shareOf(next.ledger, self.instance);
     if (after < before) {
-      // The excess must be out of use before another VM can take it.
-      const kept = await this.lower(after, row.version);
+      // The excess must be out of use before another VM can claim it.
+      const kept = await this.lowerShare(after, row.version);
       if (kept >= before) return POLL_MS;
       next = LEDGER_STEPS.balance(ledger, self.instance, kept);
     }
     const written = await this.write(next, row.version);
     if (written === 'written') return POLL_MS;
-    return RETRY_MIN_MS + RETRY_SPREAD_MS * this.tools.random.fraction();
+    return RETRY_MIN_MS + RETRY_JITTER_MS * this.deps.random.fraction();
   }
 
   private async write(
     {ledger, change}: LedgerStep,
     expected: number,
   ): Promise<WriteOutcome> {
-    const {table, key, record} = this.tools;
+    const {table, key, record} = this.deps;
     const operationId = randomUUID();
     const next = {...ledger, operationId};
     const written = await table.write(key, JSON.stringify(next), expected);
@@ -211,25 +223,29 @@
     if (change) {
       this.unsettled = [...this.unsettled, {operationId, expected, change}];
     }
-    return 'not-known';
+    return 'unknown';
   }
 
   private get isBehind(): boolean {
-    return this.heardVersion > this.version;
+    return this.reportedVersion > this.version;
   }
 
-  /** Without the content of the version in force a VM is not confirmed. */
+  /**
+   * Fetches a reported version from a peer when the store cannot be read. A VM
+   * that has not applied the version in force does not stay confirmed.
+   */
   private async readFromPeer(): Promise<void> {
     if (!this.isBehind) return;
-    const row = await this.tools.peers.newer(this.version + 1);
+    const row = await this.deps.peers.newer(this.version + 1);
     if (row && row.version > this.version) {
       this.apply(parseLedger(row.value), row);
     }
   }
 
-  private async lower(toPpm: number, expected: number): Promise<number> {
+  /** Lowers the used share; returns what remains, which covers the loans. */
+  private async lowerShare(toPpm: number, expected: number): Promise<number> {
     const sharePpm = await ask<number>(reply =>
-      this.tools.quota.tell({kind: 'lower-share', toPpm, reply}),
+      this.deps.quota.tell({kind: 'lower-share', toPpm, reply}),
     );
     this.lowered = {sharePpm, expected};
     return sharePpm;
@@ -238,15 +254,16 @@
   private apply(ledger: Ledger, row: Row): void {
     const {version} = row;
     if (version < this.version) return;
-    const {self, quota, onApplied} = this.tools;
-    // A write without an answer can still take effect on the same version.
+    const {self, quota, onApplied} = this.deps;
+    // While the version is the one that a write without an answer expects, that
+    // write can still take effect.
     if (this.lowered && version > this.lowered.expected) {
       this.lowered = undefined;
     }
     const settled = settleWrites(this.unsettled, ledger, version);
     this.unsettled = settled.left;
     for (const {change, operationId} of settled.audited) {
-      this.tools.record(change, operationId);
+      this.deps.record(change, operationId);
     }
     const entry = entryOf(ledger, self.instance);
     this.membership = entry ? 'joined' : 'not-joined';
@@ -258,9 +275,9 @@
     onApplied(ledgerMembers(ledger, version), row);
   }
 
-  /** The ledger that this VM wants, or the same if nothing is to be done. */
+  /** Returns the next change, or the same ledger if there is none. */
   private nextStep(ledger: Ledger, version: number): LedgerStep {
-    const {self, clock, log} = this.tools;
+    const {self, clock, log} = this.deps;
     const now = clock();
     if (!entryOf(ledger, self.instance)) return LEDGER_STEPS.join(ledger, self);
     if (now - this.startedAt >= PREDECESSOR_WAIT_MS) {
@@ -272,13 +289,17 @@
     }
     for (const entry of ledger.entries) {
       const {instance, vm, state} = entry;
-      // The same run can join again, and its next reclaim starts anew.
+      // The same instance can rejoin, so its next reclaim starts from scratch.
       if (state === 'active') this.progress.delete(instance);
       if (instance === self.instance) {
-        // Another VM takes this one for dead. The share is not used any more.
+        // If another VM reclaims this VM's share, the share is already out of
+        // use and this VM leaves the entry to that reclaim.
         continue;
       }
-      if (state === 'reclaiming' && this.finishes(ledger, version, instance)) {
+      if (
+        state === 'reclaiming' &&
+        this.isReclaimComplete(ledger, version, instance)
+      ) {
         log.info({event: 'ledger.reclaimed', vm, instance}, 'share reclaimed');
         return LEDGER_STEPS.finishReclaim(ledger, entry);
       }
@@ -295,8 +316,12 @@
     return LEDGER_STEPS.balance(ledger, self.instance, 0);
   }
 
-  private finishes(ledger: Ledger, version: number, instance: string): boolean {
-    const {clock} = this.tools;
+  private isReclaimComplete(
+    ledger: Ledger,
+    version: number,
+    instance: string,
+  ): boolean {
+    const {clock} = this.deps;
     const present = ledgerMembers(ledger, version);
     const progress = observeReclaim(
       this.progress.get(instance) ?? {
@@ -312,48 +337,52 @@
     return mayFinishReclaim(progress, clock());
   }
 
-  private peersChanged(down: readonly string[]): void {
-    const now = this.tools.clock();
+  private updateDownPeers(down: readonly string[]): void {
+    const now = this.deps.clock();
     this.downSince = new Map(
       down.map(instance => [instance, this.downSince.get(instance) ?? now]),
     );
   }
 
-  private hold(holding: 'share' | 'nothing'): void {
+  private setHolding(holding: 'share' | 'nothing'): void {
     if (holding === this.holding) return;
     this.holding = holding;
     const use = holding === 'share' ? 'in-use' : 'ended';
-    this.tools.quota.tell({kind: 'use', use});
+    this.deps.quota.tell({kind: 'use', use});
   }
 
-  /** Returns the share once. What is lent then is left to a later reclaim. */
+  /**
+   * Tries to return the share once, and again only after a write conflict. A
+   * share that is still lent is left for another VM to reclaim.
+   */
   private async leave(): Promise<void> {
-    const {table, key} = this.tools;
-    this.hold('nothing');
-    for (let attempt = 0; attempt < LEAVE_ATTEMPTS; attempt += 1) {
+    const {table, key} = this.deps;
+    this.setHolding('nothing');
+    for (let attempt = 0; attempt < MAX_LEAVE_ATTEMPTS; attempt += 1) {
       const row = await table.read(key);
       if (!row.ok || !row.value) return;
       const {value, version} = row.value;
-      const outcome = await this.giveBack(parseLedger(value), version);
+      const outcome = await this.returnShare(parseLedger(value), version);
       if (outcome !== 'conflict') return;
     }
   }
 
-  /** Returns the share as soon as none of it is lent any more. */
-  private async giveBack(
+  /** Returns the share if none of it is lent. */
+  private async returnShare(
     ledger: Ledger,
     version: number,
-  ): Promise<GiveBackOutcome> {
-    const entry = entryOf(ledger, this.tools.self.instance);
+  ): Promise<ReturnOutcome> {
+    const entry = entryOf(ledger, this.deps.self.instance);
     if (!entry || entry.state === 'reclaiming') return 'not-held';
     const {lowered} = this;
-    const kept = await this.lower(0, version);
+    const kept = await this.lowerShare(0, version);
     if (kept > 0) {
-      // Nothing is written, so only an earlier write can still take effect.
+      // Nothing was written, so only an earlier write can still take effect,
+      // and its limit applies.
       this.lowered = lowered;
       return 'lent';
     }
-    return this.write(LEDGER_STEPS.giveBack(ledger, entry), version);
+    return this.write(LEDGER_STEPS.returnShare(ledger, entry), version);
   }
 
   private schedule(delayMs: number): void {
--- a/packages/entry/src/quota/member_ledger_peers.ts
+++ b/packages/entry/src/quota/member_ledger_peers.ts
@@ -4,14 +4,14 @@
 import {PeerClients} from '../peers/peer_clients.js';
 import {LedgerPeers} from './ledger_peers.js';
 
-/** Asked one after the other, as the row of a large fleet is long. */
-const ASKED_PEERS = 3;
-const TIMEOUT_MS = 500;
+/** Peers are asked one at a time, as the row of a large fleet is long. */
+const MAX_ASKED_PEERS = 3;
+const REQUEST_TIMEOUT_MS = 500;
 
-/** Asks VMs that reported that they have the version in force. */
+/** Asks up to three random VMs that have reported a high enough version. */
 export class MemberLedgerPeers extends LedgerPeers {
   private readonly clients = new PeerClients();
-  /** The addresses of running VMs with the ledger version in force there. */
+  /** The applied ledger version by address of alive and suspect VMs. */
   private applied: ReadonlyMap<string, number> = new Map();
 
   constructor(
@@ -21,7 +21,7 @@
     super();
   }
 
-  /** Takes the VMs that may be asked. */
+  /** Updates the VMs that may be asked. */
   viewChanged({peers, appliedLedgers}: MembershipView): void {
     this.applied = new Map(
       peers
@@ -36,14 +36,21 @@
 
   override async newer(version: number): Promise<Row | undefined> {
     const {key, random} = this;
-    const left = [...this.applied]
+    const remaining = [...this.applied]
       .filter(([, applied]) => applied >= version)
       .map(([address]) => address);
-    for (let asked = 0; asked < ASKED_PEERS && left.length > 0; asked += 1) {
-      const [address = ''] = left.splice(random.integer(0, left.length - 1), 1);
+    for (
+      let asked = 0;
+      asked < MAX_ASKED_PEERS && remaining.length > 0;
+      asked += 1
+    ) {
+      const [address = ''] = remaining.splice(
+        random.integer(0, remaining.length - 1),
+        1,
+      );
       const answer = await this.clients
         .to(address)
-        .ledger({key, version}, {timeoutMs: TIMEOUT_MS});
+        .ledger({key, version}, {timeoutMs: REQUEST_TIMEOUT_MS});
       if (!answer.ok || answer.value.kind === 'missing') continue;
       const {value} = answer.value;
       return {key, value, version: answer.value.version};
--- a/packages/entry/src/quota/quota_part.ts
+++ b/packages/entry/src/quota/quota_part.ts
@@ -20,57 +20,60 @@
 import {MemberLedgerPeers} from './member_ledger_peers.js';
 import {QuotaTask} from './quota_task.js';
 
-/** A lender that takes longer is as good as unreachable. */
+/** A lender that does not answer in this time counts as unreachable. */
 const LOAN_TIMEOUT_MS = 100;
 
-/** What the part needs of the daemon. */
+/** The collaborators of the quota subsystem. */
 export interface QuotaPartTools {
   readonly self: PeerRecord;
-  /** The key of the ledger's row. */
+  /** The key of the ledger row. */
   readonly ledgerKey: string;
   readonly table: TableService;
+  /** Passes an authority event to the membership task. */
   readonly learn: (event: AuthorityEvent) => void;
-  /** Whether work is under way that needs the share. */
+  /** Whether this VM has running work that needs the share. */
   readonly activity: () => 'idle' | 'busy';
   readonly record: RecordLedgerChange;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** Wires the tasks that count the rates of the workspaces. */
+/** Wires the tasks that enforce the rate limits of the workspaces. */
 export class QuotaPart {
   readonly filter: AdmitFilter;
   private readonly quota: QuotaTask;
   private readonly ledger: LedgerTask;
   private readonly ledgerPeers: MemberLedgerPeers;
   private readonly clients = new PeerClients();
+  /** The peer addresses of the VMs that are alive, by instance. */
   private addresses: ReadonlyMap<string, string> = new Map();
-  private knownLedger = 0;
-  /** The row of the applied ledger, for peers that cannot read the store. */
+  private reportedLedgerVersion = 0;
+  /** The applied ledger row, served to peers that cannot read the store. */
   private row: Row | undefined;
   private serveUnconfirmed = false;
 
-  constructor(private readonly tools: QuotaPartTools) {
-    const {self, table, clock, log, learn} = tools;
+  constructor(private readonly deps: QuotaPartTools) {
+    const {self, table, clock, log, learn} = deps;
     this.quota = new QuotaTask({
       self: self.instance,
-      sendLoanRequest: (instance, req) => this.send(instance, req),
+      sendLoanRequest: (instance, req) => this.sendLoanRequest(instance, req),
       random: new Random(Date.now() | 0),
       clock,
-      onFault: err => log.error({event: 'quota.failed', err}, 'quota failed'),
+      onFault: err =>
+        log.error({event: 'quota.failed', err}, 'quota task failed'),
     });
     this.ledgerPeers = new MemberLedgerPeers(
-      tools.ledgerKey,
+      deps.ledgerKey,
       new Random(Date.now() | 0),
     );
     this.ledger = new LedgerTask({
       self,
-      key: tools.ledgerKey,
+      key: deps.ledgerKey,
       table,
       quota: this.quota,
       peers: this.ledgerPeers,
-      activity: tools.activity,
-      record: tools.record,
+      activity: deps.activity,
+      record: deps.record,
       onApplied: (members, row) => {
         this.row = row;
         learn({kind: 'applied', versions: {ledger: members.version}});
@@ -83,12 +86,13 @@
     this.filter = new AdmitFilter(this.quota);
   }
 
-  /** Whether this VM has a share, or peers from which it can borrow. */
+  /** Whether this VM has a share or a peer to borrow from. */
   get state(): 'able' | 'unable' {
     const joined = this.ledger.state === 'joined';
     return joined || this.addresses.size > 0 ? 'able' : 'unable';
   }
 
+  /** Starts polling the ledger. */
   start(): void {
     this.ledger.tell({kind: 'poll'});
   }
@@ -100,25 +104,27 @@
     );
   }
 
-  /** Answers a peer that cannot read the ledger. */
+  /** Returns the applied ledger row to a peer that cannot read the store. */
   async ledgerRow({key, version}: LedgerRequest): Promise<LedgerAnswer> {
     const {row} = this;
     if (row?.key !== key || row.version < version) return {kind: 'missing'};
     return {kind: 'found', version: row.version, value: row.value};
   }
 
+  /** Applies the rate limits and the mode of unconfirmed VMs. */
   configure({workspaces, whenUnconfirmed}: Configuration): void {
     const limits = new Map(
       workspaces.map(({name, rate, burst}) => [name, {rate, burst}]),
     );
     this.quota.tell({kind: 'limits', limits});
-    // A VM that serves while it is unconfirmed keeps using its share, so the
-    // share is not taken from it.
+    // A VM that serves while unconfirmed keeps using its share, so the share
+    // must not be reclaimed.
     const mode = whenUnconfirmed === 'refuse' ? 'allowed' : 'forbidden';
     this.ledger.tell({kind: 'reclaim-mode', mode});
     this.serveUnconfirmed = whenUnconfirmed === 'serve';
   }
 
+  /** Passes changes of the membership view to the quota and ledger tasks. */
   viewChanged(view: MembershipView): void {
     const alive = view.peers.filter(entry => entry.state === 'alive');
     this.addresses = new Map(
@@ -131,42 +137,46 @@
       kind: 'confirmed',
       until: this.serveUnconfirmed ? Infinity : view.confirmedUntil,
     });
-    const gone = view.peers.filter(
+    const downOrLeft = view.peers.filter(
       ({state}) => state === 'down' || state === 'left',
     );
     this.ledger.tell({
       kind: 'peers',
-      down: gone.map(({peer}) => peer.instance),
+      down: downOrLeft.map(({peer}) => peer.instance),
       appliedLedgers: new Map(view.appliedLedgers).set(
-        this.tools.self.instance,
+        this.deps.self.instance,
         view.applied.ledger,
       ),
     });
-    if (view.known.ledger > Math.max(this.knownLedger, view.applied.ledger)) {
-      this.ledger.tell({kind: 'heard', version: view.known.ledger});
+    if (
+      view.known.ledger >
+      Math.max(this.reportedLedgerVersion, view.applied.ledger)
+    ) {
+      this.ledger.tell({kind: 'version-reported', version: view.known.ledger});
     }
-    this.knownLedger = view.known.ledger;
-    // No change of the ledger takes anything from a VM without a share, so a
-    // version that it cannot read is in force here once it is known.
+    this.reportedLedgerVersion = view.known.ledger;
+    // No ledger change can take anything from a VM without a share, so such a
+    // VM may report a known version as applied without reading it.
     if (
       this.ledger.state === 'not-joined' &&
       view.known.ledger > view.applied.ledger
     ) {
       const versions = {ledger: view.known.ledger};
-      this.tools.learn({kind: 'applied', versions});
+      this.deps.learn({kind: 'applied', versions});
     }
   }
 
-  /** While this VM drains, its share is returned once its work has ended. */
+  /** A draining VM returns its share when its work has ended. */
   lifecycleChanged(lifecycle: Lifecycle): void {
     this.ledger.tell({kind: 'lifecycle', lifecycle});
   }
 
-  /** Returns the share, when no more work needs it. */
+  /** Returns the share before the VM stops; call it when no work needs it. */
   leave(): Promise<void> {
     return ask(reply => this.ledger.tell({kind: 'leave', reply}));
   }
 
+  /** Stops the tasks and closes the connections to peers. */
   async stop(): Promise<void> {
     await this.ledger.stop();
     await this.quota.stop();
@@ -174,7 +184,7 @@
     this.ledgerPeers.close();
   }
 
-  private async send(
+  private async sendLoanRequest(
     instance: string,
     request: LoanRequest,
   ): Promise<LoanGrant | undefined> {
--- a/packages/entry/src/quota/quota_task.ts
+++ b/packages/entry/src/quota/quota_task.ts
@@ -16,10 +16,10 @@
 } from './quota_message.js';
 
 const WAITING_TICK_MS = 20;
-/** Often enough to renew loans before they end. */
+/** Short enough to renew loans before they expire. */
 const IDLE_TICK_MS = 200;
 
-/** Sends a request to a peer. Undefined means that no answer came. */
+/** Sends a loan request to a peer; undefined if there was no answer. */
 export type SendLoanRequest = (
   instance: string,
   request: LoanRequest,
@@ -27,7 +27,7 @@
 
 /** The collaborators of the quota task. */
 export interface QuotaTools {
-  /** The incarnation of this VM. */
+  /** The instance of this VM. */
   readonly self: string;
   readonly sendLoanRequest: SendLoanRequest;
   readonly random: Random;
@@ -35,27 +35,29 @@
   readonly onFault: (err: unknown) => void;
 }
 
-/** A statement without an answer. */
+/** A statement that waits for a token. */
 interface WaitingStatement {
+  /** The time at which the wait ends. */
   readonly until: number;
   readonly reply: Reply<AdmitOutcome>;
 }
 
-/** Owns this VM's tokens and loans of all workspaces. */
+/** Owns the tokens and loans of all workspaces on this VM. */
 export class QuotaTask extends Task<QuotaTaskMessage> {
   private state: QuotaState;
+  /** The waiting statements by ticket. */
   private readonly waiting = new Map<number, WaitingStatement>();
-  /** The earliest time at which a statement stops waiting, or earlier. */
+  /** A lower bound of the time at which the next waiting statement expires. */
   private nextRefusalAt = Infinity;
   private nextTicket = 0;
   private use: ShareUse = 'in-use';
   private confirmedUntil = Number.NEGATIVE_INFINITY;
   private timer: NodeJS.Timeout | undefined;
-  private ticksAt = Infinity;
+  private nextTickAt = Infinity;
 
-  constructor(private readonly tools: QuotaTools) {
+  constructor(private readonly deps: QuotaTools) {
     super();
-    this.state = newQuotaState(tools.self);
+    this.state = newQuotaState(deps.self);
     this.schedule();
   }
 
@@ -97,7 +99,7 @@
         this.setShare(message.sharePpm);
         break;
       case 'lower-share': {
-        const lent = lentPpmOf(this.state, this.tools.clock());
+        const lent = lentPpmOf(this.state, this.deps.clock());
         const kept = Math.min(
           this.state.sharePpm,
           Math.max(message.toPpm, lent),
@@ -119,34 +121,34 @@
         this.decide(message);
         break;
       case 'tick':
-        this.ticksAt = Infinity;
+        this.nextTickAt = Infinity;
         this.decide(message);
-        this.findNextRefusal();
+        this.updateNextRefusalTime();
         break;
     }
     this.schedule();
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.onFault(err);
+    this.deps.onFault(err);
     this.schedule();
   }
 
   private setShare(sharePpm: number): void {
-    // Loans of a share that is not in use are not renewed, so they end.
+    // Loans from a share that is not in use are not renewed and so expire.
     const confirmedUntil =
       this.use === 'in-use' ? this.confirmedUntil : Number.NEGATIVE_INFINITY;
     this.decide({kind: 'share', sharePpm, confirmedUntil});
   }
 
-  private decide(message: QuotaMessage, lent?: Reply<LoanGrant>): void {
-    const {random, clock} = this.tools;
+  private decide(message: QuotaMessage, loanReply?: Reply<LoanGrant>): void {
+    const {random, clock} = this.deps;
     const {state, effects} = decideQuota(this.state, message, random, clock());
     this.state = state;
-    for (const effect of effects) this.apply(effect, lent);
+    for (const effect of effects) this.apply(effect, loanReply);
   }
 
-  private apply(effect: QuotaEffect, lent?: Reply<LoanGrant>): void {
+  private apply(effect: QuotaEffect, loanReply?: Reply<LoanGrant>): void {
     switch (effect.kind) {
       case 'admitted':
       case 'refused':
@@ -154,7 +156,7 @@
         this.waiting.delete(effect.ticket);
         return;
       case 'answer-loan':
-        lent?.answer(effect.grant);
+        loanReply?.answer(effect.grant);
         return;
       case 'request-loan':
         void this.request(effect.lender, effect.request);
@@ -163,31 +165,34 @@
   }
 
   private async request(lender: string, request: LoanRequest): Promise<void> {
-    const grant = await this.tools
+    const grant = await this.deps
       .sendLoanRequest(lender, request)
       .catch((err: unknown) => {
-        this.tools.onFault(err);
+        this.deps.onFault(err);
         return undefined;
       });
     this.tell({kind: 'loan-answered', lender, request, grant});
   }
 
-  private findNextRefusal(): void {
-    if (this.nextRefusalAt > this.tools.clock()) return;
+  private updateNextRefusalTime(): void {
+    if (this.nextRefusalAt > this.deps.clock()) return;
     this.nextRefusalAt = Infinity;
     for (const {until} of this.waiting.values()) {
       this.nextRefusalAt = Math.min(this.nextRefusalAt, until);
     }
   }
 
-  /** Without the time of the next refusal, it would be up to a tick late. */
+  /**
+   * Schedules the next tick. A tick is also scheduled at the time of the next
+   * refusal, which would otherwise come up to a tick late.
+   */
   private schedule(): void {
-    const now = this.tools.clock();
+    const now = this.deps.clock();
     const delayMs = this.waiting.size > 0 ? WAITING_TICK_MS : IDLE_TICK_MS;
     const at = Math.min(now + delayMs, this.nextRefusalAt);
-    if (at >= this.ticksAt) return;
+    if (at >= this.nextTickAt) return;
     clearTimeout(this.timer);
-    this.ticksAt = at;
+    this.nextTickAt = at;
     this.timer = setTimeout(() => this.tell({kind: 'tick'}), at - now);
   }
 }
