--- a/packages/entry/src/failover/__tests__/failover_task.test.ts
+++ b/packages/entry/src/failover/__tests__/failover_task.test.ts
@@ -29,7 +29,7 @@
   };
 }
 
-/** A group whose primary does not answer, and which takes each control call. */
+/** A group whose primary is unreachable and whose replicas obey every call. */
 class FakeGroup {
   private members: MemberView[] = NAMES.map((backendServer, index) => ({
     backendServer,
@@ -69,8 +69,8 @@
 beforeEach(() => vi.useFakeTimers());
 afterEach(() => vi.useRealTimers());
 
-// Guards against a VM that keeps its suspicion to itself, that acts without the
-// report of another data centre, or that ignores such a report.
+// Guards against a VM that does not send its report, that starts an attempt
+// without a report from another data centre, or that ignores such a report.
 it('sends its report and acts on the report of another VM', async () => {
   const log: string[] = [];
   const startedAt = Date.now();
--- a/packages/entry/src/failover/failover_task.ts
+++ b/packages/entry/src/failover/failover_task.ts
@@ -23,8 +23,10 @@
 import type {ControlCall, ControlResult} from '../group/member_control_task.js';
 
 const IDLE_TICK_MS = 250;
+/** Used during an attempt and while this VM's report is not clear. */
 const ACTIVE_TICK_MS = 50;
 
+/** Messages to the failover task of a group. */
 export type FailoverTaskMessage =
   | {readonly kind: 'tick'}
   | {
@@ -35,7 +37,7 @@
   | Exclude<FailoverMessage, {kind: 'configured'}>
   | {readonly kind: 'close'};
 
-/** Names the VM and the group that a task acts for. */
+/** The VM and the database of the group that a failover task acts for. */
 export type FailoverIdentity = Pick<
   FailoverState,
   'database' | 'vm' | 'dataCentre' | 'moveGraceMs'
@@ -44,22 +46,27 @@
 /** The collaborators of a failover task. */
 export interface FailoverTools {
   readonly group: GroupTask;
+  /** The store's table, which holds the row of the attempts. */
   readonly table: TableService;
   readonly clock: Clock;
   readonly random: Random;
-  /** Passes this VM's report on to the other VMs. */
+  /** Sends this VM's report to the other VMs that poll the group. */
   readonly sendReport: (report: FailoverReport) => void;
-  /** Records the end of an attempt of this VM. */
+  /** Called when an attempt of this VM ends. */
   readonly onEnded: (attempt: Attempt) => void;
   readonly log: Logger;
 }
 
-/** The key of the row that serialises the attempts for a database. */
+/** Returns the key of the row that serialises the attempts for a database. */
 export function failoverKey(database: string): string {
   return `failover/${database}`;
 }
 
-/** Carries out one VM's failover decisions for one group. */
+/**
+ * Observes one group, passes observations and reports to the failover decisions
+ * and performs the resulting actions. Fence, promote and follow calls go to the
+ * group task; claims go to the row of the database.
+ */
 export class FailoverTask extends Task<FailoverTaskMessage> {
   private state: FailoverState;
   private timer: NodeJS.Timeout | undefined;
@@ -67,11 +74,11 @@
 
   constructor(
     private readonly identity: FailoverIdentity,
-    private readonly tools: FailoverTools,
+    private readonly deps: FailoverTools,
   ) {
     super();
-    // A restarted VM is another owner, so it never repeats a call of a term
-    // that its former process has used in another way.
+    // Each process has its own owner ID, so a restarted VM never repeats a call
+    // of a term that its earlier process used for another call.
     const owner = `${identity.vm}/${randomBytes(4).toString('hex')}`;
     this.state = initialFailoverState({...identity, owner});
     this.schedule();
@@ -107,7 +114,7 @@
 
   protected override onFailure(err: unknown): void {
     const {database} = this.identity;
-    this.tools.log.error(
+    this.deps.log.error(
       {event: 'failover.failed', database, err},
       'failover task failed',
     );
@@ -115,39 +122,39 @@
 
   private observe(): void {
     void ask<GroupObservation>(reply =>
-      this.tools.group.tell({kind: 'observe', reply}),
-    ).then(seen => this.tell({kind: 'observed', ...seen}));
+      this.deps.group.tell({kind: 'observe', reply}),
+    ).then(observation => this.tell({kind: 'observed', ...observation}));
     this.schedule();
   }
 
   private schedule(): void {
-    const own = this.state.reports[this.identity.vm]?.report.kind;
-    const active =
+    const ownReport = this.state.reports[this.identity.vm]?.report.kind;
+    const isActive =
       this.state.attempt !== undefined ||
-      (own !== undefined && own !== 'clear');
+      (ownReport !== undefined && ownReport !== 'clear');
     this.timer = setTimeout(
       () => this.tell({kind: 'tick'}),
-      active ? ACTIVE_TICK_MS : IDLE_TICK_MS,
+      isActive ? ACTIVE_TICK_MS : IDLE_TICK_MS,
     );
   }
 
   private decide(message: FailoverMessage): void {
     if (this.lifecycle === 'closed') return;
-    const {random, clock} = this.tools;
+    const {random, clock} = this.deps;
     const step = decideFailover(this.state, message, random, clock());
     this.state = step.state;
-    for (const action of step.actions) this.carryOut(action);
+    for (const action of step.actions) this.perform(action);
   }
 
-  private carryOut(action: FailoverAction): void {
+  private perform(action: FailoverAction): void {
     switch (action.kind) {
       case 'report':
-        this.tools.sendReport(action.report);
+        this.deps.sendReport(action.report);
         return;
       case 'started':
       case 'ended':
         this.logAttempt(action.kind, action.attempt);
-        if (action.kind === 'ended') this.tools.onEnded(action.attempt);
+        if (action.kind === 'ended') this.deps.onEnded(action.attempt);
         return;
       case 'read-row':
         void this.readRow().then(event => this.progress(event));
@@ -174,7 +181,7 @@
     call: ControlCall,
   ): Promise<AttemptEvent> {
     const result = await ask<ControlResult>(reply =>
-      this.tools.group.tell({kind: 'control', backendServer, call, reply}),
+      this.deps.group.tell({kind: 'control', backendServer, call, reply}),
     );
     const {kind, term} = call;
     const outcome = outcomeOf(result);
@@ -182,7 +189,7 @@
   }
 
   private async readRow(): Promise<AttemptEvent> {
-    const read = await this.tools.table.read(this.rowKey);
+    const read = await this.deps.table.read(this.rowKey);
     if (!read.ok) return {kind: 'row-failed', reason: 'unavailable'};
     const row = read.value
       ? (JSON.parse(read.value.value) as ClaimRow)
@@ -194,7 +201,7 @@
     action: Extract<AttemptAction, {kind: 'write-row'}>,
   ): Promise<AttemptEvent> {
     const body = JSON.stringify(action.row);
-    const {table} = this.tools;
+    const {table} = this.deps;
     const written = await table.write(this.rowKey, body, action.expected);
     return written.ok
       ? {kind: 'row-written', version: written.value.version}
@@ -207,7 +214,7 @@
 
   private logAttempt(event: 'started' | 'ended', attempt: Attempt): void {
     const {database, term, reason, phase, abandoned, candidate} = attempt;
-    this.tools.log.info(
+    this.deps.log.info(
       {
         event: `failover.${event}`,
         database,
@@ -224,9 +231,9 @@
 
 function outcomeOf(result: ControlResult): CallOutcome {
   if (result.ok) return {kind: 'done', received: result.value.received};
-  const refused =
+  const isRefused =
     result.err.kind === 'statement-error' ||
     (result.err.kind === 'not-run' &&
       result.err.errno === MYSQL_ERRNO.optionPreventsStatement);
-  return {kind: refused ? 'refused' : 'no-answer'};
+  return {kind: isRefused ? 'refused' : 'no-answer'};
 }
--- a/packages/entry/src/membership/__tests__/membership_task.test.ts
+++ b/packages/entry/src/membership/__tests__/membership_task.test.ts
@@ -21,19 +21,22 @@
 const PORT = 42_191;
 const NO_VERSIONS: Versions = {configuration: 0, ledger: 0};
 
-/** VMs differ by their loopback address. */
-function record(vm: string, host: number, port = PORT): PeerRecord {
+/** Builds a peer record. VMs differ by their loopback address. */
+function peerRecord(vm: string, host: number, port = PORT): PeerRecord {
   const address = `127.0.2.${host}:${port}`;
   return {vm, dataCentre: vm[0] ?? '', address, instance: `i-${vm}`};
 }
 
-/** Listens on a port of the system's choice, as tests may run side by side. */
+/** Listens on a port that the system assigns, as tests may run in parallel. */
 async function listenAnywhere(server: Server, host: string): Promise<number> {
   await new Promise<void>(resolve => server.listen(0, host, resolve));
   return (server.address() as AddressInfo).port;
 }
 
-/** No outgoing connection takes the port, as none uses these addresses. */
+/**
+ * Returns a free port of the host. No outgoing connection can take the port in
+ * the meantime, as none uses these addresses.
+ */
 async function freePort(host: string): Promise<number> {
   const server = createServer();
   const port = await listenAnywhere(server, host);
@@ -120,12 +123,12 @@
     });
   }
 
-  // Guards against a VM that stays confirmed on the word of a peer that may
-  // have spoken long ago, and against payloads that are not passed on.
-  it('takes news from a probe but no proof', async () => {
-    const {views, suspicions, probed, status} = setup(record('a1', 1));
+  // Guards against a VM that stays confirmed because of a peer's probe, which
+  // may have been sent long ago, and against payloads that are not passed on.
+  it('accepts versions from a probe but no proof', async () => {
+    const {views, suspicions, probed, status} = setup(peerRecord('a1', 1));
     const versions = {configuration: 4, ledger: 2};
-    const answer = await probed(gossipOf(record('b1', 2), versions, 10));
+    const answer = await probed(gossipOf(peerRecord('b1', 2), versions, 10));
     expect({
       answer,
       suspicions,
@@ -135,11 +138,11 @@
     }).toMatchSnapshot();
   });
 
-  // Guards against a VM that stays unconfirmed while the store is down for it
+  // Guards against a VM that cannot read the store and stays unconfirmed
   // although a peer can read the store.
-  it('is confirmed by the answer of a peer, until the limit', async () => {
-    const peer = record('b1', 2, await freePort('127.0.2.2'));
-    const own = setup(record('a1', 1));
+  it('is confirmed by a peer until the proof expires', async () => {
+    const peer = peerRecord('b1', 2, await freePort('127.0.2.2'));
+    const own = setup(peerRecord('a1', 1));
     const other = setup(peer);
     await serve(other.task, peer.address);
     for (const row of ['configuration', 'ledger'] as const) {
@@ -162,25 +165,25 @@
     expect((await own.status()).confirmation).toBe('unconfirmed');
   });
 
-  // Guards against a VM that suspects its peers after it was paused itself.
+  // Guards against a VM that suspects its peers after a pause of its own.
   it.each([
-    ['silence', 0, 'suspect'],
-    ['silence during a pause of this VM', 5_000, 'alive'],
+    ['suspects an unresponsive peer', 0, 'suspect'],
+    ['does not suspect a peer during a pause of its own', 5_000, 'alive'],
   ] as const)('%s', async (unusedName, pauseMs, expected) => {
-    const silent = createServer(socket => {
-      // The caller resets a connection whose request timed out.
+    const unresponsive = createServer(socket => {
+      // The client resets a connection whose request timed out.
       socket.on('error', () => undefined);
     });
-    closers.push(() => void silent.close());
-    const port = await listenAnywhere(silent, '127.0.2.3');
-    const own = setup(record('a1', 1));
-    await own.probed(gossipOf(record('b1', 3, port), NO_VERSIONS, null));
+    closers.push(() => void unresponsive.close());
+    const port = await listenAnywhere(unresponsive, '127.0.2.3');
+    const own = setup(peerRecord('a1', 1));
+    await own.probed(gossipOf(peerRecord('b1', 3, port), NO_VERSIONS, null));
     own.task.tell({kind: 'tick'});
     await own.status();
     own.time.now += pauseMs;
     const stateOfPeer = async () => (await own.status()).peers[0]?.state;
     if (expected === 'alive') {
-      // Longer than the probe waits for an answer.
+      // Waits longer than the probe timeout.
       await new Promise(resolve => setTimeout(resolve, 400));
     }
     await vi.waitFor(async () => expect(await stateOfPeer()).toBe(expected), {
--- a/packages/entry/src/membership/gossip_payloads.ts
+++ b/packages/entry/src/membership/gossip_payloads.ts
@@ -1,17 +1,19 @@
 /**
- * What other parts of the daemon send and receive with probes. The content is
- * theirs alone; the membership task passes it on.
+ * Data of other subsystems that is sent and received with probes. The
+ * membership task passes it on without reading it.
  */
 export interface GossipPayloads {
-  /** The groups whose primary this VM cannot reach. */
+  /** Returns the groups whose primary this VM cannot reach. */
   readonly suspicions: () => unknown;
+  /** Called with the suspicions of the VM that sent or answered a probe. */
   readonly onSuspicions: (
     vm: string,
     dataCentre: string,
     suspicions: unknown,
   ) => void;
-  /** The quota that this VM could lend. */
+  /** Returns the quota that this VM can lend. */
   readonly spareQuota: () => unknown;
+  /** Called with the spare quota of the VM that sent or answered a probe. */
   readonly onSpareQuota: (
     vm: string,
     dataCentre: string,
@@ -19,7 +21,7 @@
   ) => void;
 }
 
-/** Payloads of a daemon that sends none. */
+/** For a daemon that sends and receives no payloads. */
 export const NO_PAYLOADS: GossipPayloads = {
   suspicions: () => undefined,
   onSuspicions: () => undefined,
--- a/packages/entry/src/membership/membership_task.ts
+++ b/packages/entry/src/membership/membership_task.ts
@@ -32,27 +32,32 @@
 import type {MembershipTools} from './membership_tools.js';
 
 const PROBE_TIMEOUT_MS = 300;
-/** Leaves time for the probe that the other VM sends. */
+/** Includes the time for the probe that the helping VM sends. */
 const INDIRECT_TIMEOUT_MS = PROBE_TIMEOUT_MS + 200;
-/** A timeout that fires later than this shows that this VM itself stood still. */
-const STALL_MS = 100;
+/** A timeout that fires this late shows that this VM itself has stalled. */
+const STALL_THRESHOLD_MS = 100;
 const LIST_INTERVAL_MS = 5_000;
-/** Clients of VMs that are gone are closed this often. */
+/** How often the clients of evicted VMs are closed. */
 const RETAIN_INTERVAL_MS = 60_000;
 
-/** Owns the VM's view of the fleet and of the versions that its VMs know. */
+/**
+ * Owns this VM's view of the fleet and of the versions known and applied there.
+ * Probes peers at intervals, exchanges gossip with them, and publishes the view
+ * when it changes.
+ */
 export class MembershipTask extends Task<MembershipMessage> {
   private membership: MembershipState;
   private authority: AuthorityState;
   private discovery: 'pending' | 'done' = 'pending';
+  /** The parts of the view as last published, to detect changes. */
   private published: readonly unknown[] = [];
   private readonly clients = new PeerClients();
   private readonly timers: NodeJS.Timeout[] = [];
 
-  constructor(private readonly tools: MembershipTools) {
+  constructor(private readonly deps: MembershipTools) {
     super();
-    this.membership = initialMembership(tools.self, tools.incarnation);
-    this.authority = initialAuthority(tools.self.instance);
+    this.membership = initialMembership(deps.self, deps.incarnation);
+    this.authority = initialAuthority(deps.self.instance);
   }
 
   override async stop(): Promise<void> {
@@ -89,10 +94,10 @@
         this.decide(message.event);
         break;
       case 'probe-indirect':
-        void this.probeFor(message.target, message.reply);
+        void this.probeOnBehalf(message.target, message.reply);
         break;
       case 'authority':
-        this.learn(message.event);
+        this.updateAuthority(message.event);
         break;
       case 'status':
         message.reply.answer(this.status());
@@ -108,17 +113,17 @@
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.onFault(err);
+    this.deps.onFault(err);
   }
 
   private start(): void {
-    this.every(PROBE_INTERVAL_MS, {kind: 'tick'});
-    this.every(LIST_INTERVAL_MS, {kind: 'read-list'});
-    this.every(RETAIN_INTERVAL_MS, {kind: 'retain-clients'});
+    this.sendEvery(PROBE_INTERVAL_MS, {kind: 'tick'});
+    this.sendEvery(LIST_INTERVAL_MS, {kind: 'read-list'});
+    this.sendEvery(RETAIN_INTERVAL_MS, {kind: 'retain-clients'});
     this.tell({kind: 'read-list'});
   }
 
-  private every(intervalMs: number, message: MembershipMessage): void {
+  private sendEvery(intervalMs: number, message: MembershipMessage): void {
     this.timers.push(setInterval(() => this.tell(message), intervalMs));
   }
 
@@ -130,34 +135,34 @@
         entry.peer,
       ]),
     );
-    const extra = probesForProof(
+    const proofTargets = probesForProof(
       this.authority,
       [...running.keys()],
-      this.tools.clock(),
+      this.deps.clock(),
     );
-    for (const instance of extra) {
+    for (const instance of proofTargets) {
       const target = running.get(instance);
       if (target) void this.probe(target);
     }
   }
 
   private decide(event: MembershipEvent): void {
-    const {random, clock} = this.tools;
+    const {random, clock} = this.deps;
     const decision = decideMembership(this.membership, event, random, clock());
     this.membership = decision.state;
-    for (const action of decision.actions) this.carryOut(action);
+    for (const action of decision.actions) this.perform(action);
   }
 
-  private carryOut(action: MembershipAction): void {
+  private perform(action: MembershipAction): void {
     if (action.kind === 'probe') {
       void this.probe(action.target);
     } else {
-      void this.probeThroughOthers(action.target, action.via);
+      void this.probeIndirectly(action.target, action.via);
     }
   }
 
   private async probe(target: PeerRecord): Promise<void> {
-    const sentAt = this.tools.clock();
+    const sentAt = this.deps.clock();
     const result = await this.clients
       .to(target.address)
       .probe(this.gossipFor(target.vm, 'known'), {
@@ -176,18 +181,18 @@
   }
 
   /**
-   * Whether this VM was paused or overloaded while it waited. Answers that came
-   * in time may then be lost, so a silence says nothing about the peer.
+   * Whether this VM was paused or overloaded during the wait. Answers that came
+   * in time may then be lost, so a timeout shows nothing about the peer.
    */
   private hasStalled(sentAt: number, timeoutMs: number): boolean {
-    return this.tools.clock() - sentAt > timeoutMs + STALL_MS;
+    return this.deps.clock() - sentAt > timeoutMs + STALL_THRESHOLD_MS;
   }
 
-  private async probeThroughOthers(
+  private async probeIndirectly(
     target: PeerRecord,
     via: readonly PeerRecord[],
   ): Promise<void> {
-    const sentAt = this.tools.clock();
+    const sentAt = this.deps.clock();
     const answers = await Promise.all(
       via.map(helper =>
         this.clients
@@ -209,12 +214,12 @@
     });
   }
 
-  /** Probes a VM for another one. */
-  private async probeFor(
+  /** Probes a VM on behalf of a peer that cannot reach it. */
+  private async probeOnBehalf(
     target: PeerRecord,
     reply: Reply<ProbeIndirectAnswer>,
   ): Promise<void> {
-    const sentAt = this.tools.clock();
+    const sentAt = this.deps.clock();
     const result = await this.clients
       .to(target.address)
       .probe(this.gossipFor(target.vm, 'known'), {
@@ -231,8 +236,8 @@
     const known = this.membership.peers.get(gossip.from.vm);
     const isNew =
       known?.peer.instance !== gossip.from.instance || known.state === 'down';
-    this.hear(gossip);
-    this.learn({
+    this.receiveGossip(gossip);
+    this.updateAuthority({
       kind: 'probed',
       instance: gossip.from.instance,
       report: gossip.versions,
@@ -244,8 +249,8 @@
     message: Extract<MembershipMessage, {kind: 'answered'}>,
   ): void {
     const {gossip, sentAt} = message;
-    this.hear(gossip);
-    this.learn({
+    this.receiveGossip(gossip);
+    this.updateAuthority({
       kind: 'answered',
       instance: gossip.from.instance,
       report: gossip.versions,
@@ -253,8 +258,8 @@
     });
   }
 
-  private hear(gossip: Gossip): void {
-    const {payloads} = this.tools;
+  private receiveGossip(gossip: Gossip): void {
+    const {payloads} = this.deps;
     const {vm, dataCentre} = gossip.from;
     this.discovery = 'done';
     this.decide({
@@ -271,13 +276,21 @@
     }
   }
 
-  private learn(event: AuthorityEvent): void {
-    this.authority = decideAuthority(this.authority, event, this.tools.clock());
+  private updateAuthority(event: AuthorityEvent): void {
+    this.authority = decideAuthority(this.authority, event, this.deps.clock());
   }
 
-  private gossipFor(recipient: string, acquaintance: 'known' | 'new'): Gossip {
-    const {random, clock, payloads} = this.tools;
-    const taken = takeChanges(this.membership, recipient, acquaintance, random);
+  private gossipFor(
+    recipient: string,
+    recipientState: 'known' | 'new',
+  ): Gossip {
+    const {random, clock, payloads} = this.deps;
+    const taken = takeChanges(
+      this.membership,
+      recipient,
+      recipientState,
+      random,
+    );
     this.membership = taken.state;
     return {
       from: this.membership.self,
@@ -290,7 +303,7 @@
   }
 
   private async readList(): Promise<void> {
-    const vms = await this.tools.list.read();
+    const vms = await this.deps.list.read();
     if (vms.ok) this.tell({kind: 'listed', vms: vms.value});
   }
 
@@ -306,13 +319,14 @@
         instance: '',
       })),
     });
-    // A VM that has just started cannot forward before it has heard of others.
+    // A VM that has just started cannot forward statements until it has contact
+    // with others, so it probes without waiting for the next tick.
     if (isFirst) this.tick();
-    this.tools.onListed(vms);
+    this.deps.onListed(vms);
   }
 
   private async leave(reply: Reply<void>): Promise<void> {
-    const {random, clock} = this.tools;
+    const {random, clock} = this.deps;
     const decision = decideMembership(
       this.membership,
       {kind: 'leave'},
@@ -336,7 +350,7 @@
   }
 
   private status(): StatusAnswer {
-    const now = this.tools.clock();
+    const now = this.deps.clock();
     return {
       peer: this.membership.self,
       versions: versionReport(this.authority, now),
@@ -349,7 +363,7 @@
     };
   }
 
-  /** Publishes the view when a part of it has changed. */
+  /** Publishes the view if a part of it has changed. */
   private publish(): void {
     const {membership, authority, discovery} = this;
     const parts = [
@@ -365,7 +379,7 @@
     ];
     if (parts.every((part, index) => part === this.published[index])) return;
     this.published = parts;
-    this.tools.onView({
+    this.deps.onView({
       self: membership.self,
       peers: [...membership.peers.values()],
       candidates: [...membership.candidates.values()].map(item => item.peer),
--- a/packages/entry/src/membership/membership_tools.ts
+++ b/packages/entry/src/membership/membership_tools.ts
@@ -7,14 +7,15 @@
 /** The collaborators of the membership task. */
 export interface MembershipTools {
   readonly self: PeerRecord;
-  /** The first incarnation; see `initialMembership`. */
+  /** The initial incarnation; see `initialMembership`. */
   readonly incarnation: number;
   readonly list: VmList;
   readonly random: Random;
   readonly clock: Clock;
   readonly payloads: GossipPayloads;
+  /** Called with the new view when a part of it has changed. */
   readonly onView: (view: MembershipView) => void;
-  /** Called with the platform's list each time that it was read. */
+  /** Called with the platform's list of VMs after each read. */
   readonly onListed: (vms: readonly ListedVm[]) => void;
   readonly onFault: (err: unknown) => void;
 }
--- a/packages/entry/src/membership/membership_view.ts
+++ b/packages/entry/src/membership/membership_view.ts
@@ -5,20 +5,21 @@
   Versions,
 } from '@pistachiorill/core';
 
-/** What the membership task tells the daemon when it changes. */
+/** The view of the fleet that the membership task publishes. */
 export interface MembershipView {
   readonly self: PeerRecord;
   readonly peers: readonly PeerEntry[];
-  /** VMs of the platform's list that were not heard of yet. */
+  /** VMs on the platform's list that have not been in contact yet. */
   readonly candidates: readonly PeerRecord[];
-  /** Whether the platform's list was read or a peer was heard since the start. */
+  /** Done when the platform's list or gossip has been received once. */
   readonly discovery: 'pending' | 'done';
-  /** The highest versions that any VM was heard to know. */
+  /** The highest versions that any VM has reported, including this one. */
   readonly known: Versions;
+  /** The versions in force on this VM. */
   readonly applied: Versions;
   readonly ledger: LedgerMembers;
-  /** The ledger version in force on each run of a VM, as it reported. */
+  /** The last reported ledger version in force, by VM instance. */
   readonly appliedLedgers: ReadonlyMap<string, number>;
-  /** The VM counts as confirmed before this time. */
+  /** Before this time the versions of this VM count as proven current. */
   readonly confirmedUntil: number;
 }
