--- a/packages/entry/src/configuration/__tests__/configuration_task.test.ts
+++ b/packages/entry/src/configuration/__tests__/configuration_task.test.ts
@@ -19,7 +19,7 @@
 ) as [string, string, string];
 const DOWN = {kind: 'unavailable', detail: 'down'} as const;
 
-const SILENT = {
+const NO_LOG = {
   info: () => undefined,
   error: () => undefined,
 } as unknown as Logger;
@@ -67,7 +67,7 @@
   }
 }
 
-class Vm {
+class FakeVm {
   readonly table = new FakeTable();
   readonly objects = new FakeObjects();
   readonly peers = new FakePeers();
@@ -80,17 +80,18 @@
     onApplied: current => this.applied.push(current.version),
     onRead: () => undefined,
     clock: () => 0,
-    log: SILENT,
+    log: NO_LOG,
   });
 
+  /** Stores a document and the row that refers to it. */
   store(version: number, body: string): void {
     this.table.row = {version, hash: hashOf(body)};
     this.objects.bodies.set(`document/${hashOf(body)}`, body);
   }
 
-  /** Handles the messages sent so far and returns the versions applied. */
+  /** Waits until all messages are handled; returns the applied versions. */
   async settle(): Promise<readonly number[]> {
-    // The fakes answer at once, so a message is handled within one timer.
+    // The fakes answer at once, so messages are handled within one timer.
     await new Promise(resolve => setTimeout(resolve, 5));
     return [...this.applied];
   }
@@ -100,8 +101,8 @@
     return this.settle();
   }
 
-  async hear(version: number): Promise<readonly number[]> {
-    this.task.tell({kind: 'heard', version});
+  async reportVersion(version: number): Promise<readonly number[]> {
+    this.task.tell({kind: 'version-reported', version});
     return this.settle();
   }
 
@@ -111,12 +112,12 @@
   }
 }
 
-let vm: Vm;
+let vm: FakeVm;
 afterEach(() => vm.task.stop());
 
-// Guards against a configuration that reverts when the row is read late.
+// Guards against a configuration that reverts when an old row is read late.
 it('applies only higher versions from the row and from operators', async () => {
-  vm = new Vm();
+  vm = new FakeVm();
   vm.store(2, TWO);
   const steps = [await vm.poll()];
   steps.push(await vm.announce(3, THREE));
@@ -126,9 +127,9 @@
   expect(steps).toEqual([[2], [2, 3], [2, 3], [2, 3], [2, 3]]);
 });
 
-// Guards against a VM that starts in an outage and serves nobody.
-it('takes the configuration from a peer while the platform is down', async () => {
-  vm = new Vm();
+// Guards against a VM that starts during an outage and cannot serve.
+it('fetches the configuration from a peer in a store outage', async () => {
+  vm = new FakeVm();
   vm.table.row = 'down';
   const steps = [await vm.poll()];
   vm.peers.known = {version: 4, hash: hashOf(ONE)};
@@ -138,25 +139,26 @@
   expect(steps).toEqual([[], [], [4]]);
 });
 
-// Guards against a version that waits for the store to return although a peer
-// has it, and one that is forgotten when its body is not there yet.
-it('takes a version that it heard of from a peer', async () => {
-  vm = new Vm();
+// Guards against a version that is not applied until the store recovers
+// although a peer has it, and one that is dropped because its body is not
+// available yet.
+it('fetches a reported version from a peer', async () => {
+  vm = new FakeVm();
   vm.store(1, ONE);
   const steps = [await vm.poll()];
   vm.table.row = 'down';
-  steps.push(await vm.hear(2));
+  steps.push(await vm.reportVersion(2));
   vm.peers.known = {version: 2, hash: hashOf(TWO)};
   steps.push(await vm.poll());
   vm.peers.bodies.set(hashOf(TWO), TWO);
   steps.push(await vm.poll());
-  steps.push(await vm.hear(1));
+  steps.push(await vm.reportVersion(1));
   expect(steps).toEqual([[1], [1], [1], [1, 2], [1, 2]]);
 });
 
-// Guards against a damaged or invalid document that replaces a good one.
-it('keeps the earlier document when the next is damaged or invalid', async () => {
-  vm = new Vm();
+// Guards against a damaged or invalid document that replaces a valid one.
+it('keeps the document when the next one is damaged or invalid', async () => {
+  vm = new FakeVm();
   vm.store(1, ONE);
   const steps = [await vm.poll()];
   vm.store(2, TWO);
--- a/packages/entry/src/configuration/configuration_peers.ts
+++ b/packages/entry/src/configuration/configuration_peers.ts
@@ -1,10 +1,10 @@
 import type {ConfigurationVersion} from '@pistachiorill/core';
 
-/** Asks other VMs for the configuration while the platform is down. */
+/** Fetches the configuration from other VMs while the store is unavailable. */
 export abstract class ConfigurationPeers {
-  /** The highest version that a reachable peer has applied. */
+  /** Returns the highest version applied by the peers that were asked. */
   abstract current(): Promise<ConfigurationVersion | undefined>;
 
-  /** The body of a document, if a reachable peer holds it. */
+  /** Returns the body of a document, if a peer that was asked has it. */
   abstract body(hash: string): Promise<string | undefined>;
 }
--- a/packages/entry/src/configuration/configuration_task.ts
+++ b/packages/entry/src/configuration/configuration_task.ts
@@ -19,6 +19,7 @@
 import type {ConfigurationPeers} from './configuration_peers.js';
 
 const POLL_MS = 1_000;
+/** Used while no configuration, or not the highest known one, is applied. */
 const RETRY_MS = 200;
 
 /** A version together with the body of its document. */
@@ -26,44 +27,55 @@
   readonly body: string;
 }
 
-/** The versions that one poll found, which prove what is current. */
+/**
+ * The row versions that one poll has read from the store. They prove which
+ * versions were current at `startedAt`.
+ */
 export interface VersionRead {
+  /** The time at which the read started. */
   readonly startedAt: number;
   readonly configuration: number;
   readonly ledger: number;
 }
 
+/** Messages to the configuration task. */
 export type ConfigurationMessage =
   | {readonly kind: 'poll'}
-  /** Some VM is known to know this version. */
-  | {readonly kind: 'heard'; readonly version: number}
-  /** An operator's program has sent a version that is in force. */
+  /** Another VM has reported that this version exists. */
+  | {readonly kind: 'version-reported'; readonly version: number}
+  /** An operator's tool has announced a version that is in force. */
   | {readonly kind: 'announced'; readonly document: AppliedDocument};
 
-/** What the task works with. */
+/** The collaborators of the configuration task. */
 export interface ConfigurationTools {
   readonly environment: Environment;
   readonly table: TableService;
   readonly objects: ObjectStore;
   readonly peers: ConfigurationPeers;
+  /** Called with each newly applied configuration and its document. */
   readonly onApplied: (current: VersionedConfiguration, body: string) => void;
-  /** Called after both rows were read from the store itself. */
+  /** Called when both rows were read from the store, not from a peer. */
   readonly onRead: (read: VersionRead) => void;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** Owns the applied configuration and follows the version row and the peers. */
+/**
+ * Owns the applied configuration. Polls the version row in the store, falls
+ * back to peers while the store is unavailable, and applies only higher
+ * versions whose document has the expected hash and is valid for this VM.
+ */
 export class ConfigurationTask extends Task<ConfigurationMessage> {
   private applied: AppliedDocument | undefined;
-  /** The highest version heard of that is not applied yet. */
-  private wanted: ConfigurationVersion | undefined;
-  private heardVersion = 0;
-  /** The version whose document was refused, so that it is logged once. */
-  private refusedVersion = 0;
+  /** The highest known version and hash not applied yet. */
+  private pending: ConfigurationVersion | undefined;
+  /** The highest version that a VM has reported; its hash may be unknown. */
+  private reportedVersion = 0;
+  /** The version whose document was rejected, so that it is logged once. */
+  private rejectedVersion = 0;
   private timer: NodeJS.Timeout | undefined;
 
-  constructor(private readonly tools: ConfigurationTools) {
+  constructor(private readonly deps: ConfigurationTools) {
     super();
   }
 
@@ -74,19 +86,22 @@
       case 'poll':
         await this.poll();
         break;
-      case 'heard':
-        this.heardVersion = Math.max(this.heardVersion, message.version);
+      case 'version-reported':
+        this.reportedVersion = Math.max(this.reportedVersion, message.version);
         if (this.state() === 'behind') await this.poll();
         break;
       case 'announced':
-        this.announced(message.document);
+        this.applyAnnounced(message.document);
         break;
     }
     this.schedule(this.state() === 'current' ? POLL_MS : RETRY_MS);
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.log.error({event: 'configuration.failed', err}, 'poll failed');
+    this.deps.log.error(
+      {event: 'configuration.failed', err},
+      'configuration task failed',
+    );
     this.schedule(RETRY_MS);
   }
 
@@ -95,17 +110,20 @@
     clearTimeout(this.timer);
   }
 
-  /** Whether a version above the applied one is known and can be tried. */
+  /**
+   * Returns `behind` if no version is applied, or if a version above both the
+   * applied and the rejected one is known.
+   */
   private state(): 'current' | 'behind' {
     if (!this.applied) return 'behind';
-    const known = Math.max(this.wanted?.version ?? 0, this.heardVersion);
-    return known > Math.max(this.applied.version, this.refusedVersion)
+    const known = Math.max(this.pending?.version ?? 0, this.reportedVersion);
+    return known > Math.max(this.applied.version, this.rejectedVersion)
       ? 'behind'
       : 'current';
   }
 
   private async poll(): Promise<void> {
-    const {table, environment, peers, clock, onRead} = this.tools;
+    const {table, environment, peers, clock, onRead} = this.deps;
     const startedAt = clock();
     const [row, ledger] = await Promise.all([
       table.read(configurationKey(environment)),
@@ -119,55 +137,63 @@
       });
     }
     if (row.ok && row.value) {
-      this.hear(decodeConfigurationRow(row.value.value, row.value.version));
+      this.considerVersion(
+        decodeConfigurationRow(row.value.value, row.value.version),
+      );
     } else if (!row.ok && this.state() === 'behind') {
-      // A VM that starts during an outage would otherwise serve nobody.
-      this.hear(await peers.current());
+      // Without peers, a VM that starts during an outage could not serve.
+      this.considerVersion(await peers.current());
     }
-    await this.fetchWanted();
+    await this.fetchPending();
   }
 
-  private hear(known: ConfigurationVersion | undefined): void {
+  private considerVersion(known: ConfigurationVersion | undefined): void {
     const version = this.applied?.version ?? 0;
-    this.wanted = nextConfiguration(version, [this.wanted, known]);
+    this.pending = nextConfiguration(version, [this.pending, known]);
   }
 
-  private announced(document: AppliedDocument): void {
-    this.hear(document);
-    const {wanted} = this;
-    if (wanted?.hash !== document.hash) return;
-    if (hashOf(document.body) === wanted.hash) {
-      this.apply(wanted, document.body);
+  private applyAnnounced(document: AppliedDocument): void {
+    this.considerVersion(document);
+    const {pending} = this;
+    if (pending?.hash !== document.hash) return;
+    if (hashOf(document.body) === pending.hash) {
+      this.apply(pending, document.body);
     }
   }
 
-  private async fetchWanted(): Promise<void> {
-    const {wanted} = this;
-    if (!wanted || wanted.version === this.refusedVersion) return;
-    const body = await this.fetchBody(wanted.hash);
-    if (body !== undefined) this.apply(wanted, body);
+  private async fetchPending(): Promise<void> {
+    const {pending} = this;
+    if (!pending || pending.version === this.rejectedVersion) return;
+    const body = await this.fetchBody(pending.hash);
+    if (body !== undefined) this.apply(pending, body);
   }
 
-  /** Reads a body from the store or else from a peer, and checks its hash. */
+  /** Reads a body from the store, or else from a peer, and checks its hash. */
   private async fetchBody(hash: string): Promise<string | undefined> {
     if (this.applied?.hash === hash) return this.applied.body;
-    const {objects, peers, log} = this.tools;
+    const {objects, peers, log} = this.deps;
     const stored = await objects.get(documentName(hash));
     if (stored.ok && stored.value !== undefined) {
       if (hashOf(stored.value) === hash) return stored.value;
-      log.error({event: 'configuration.corrupt', hash}, 'wrong hash in store');
+      log.error(
+        {event: 'configuration.corrupt', hash},
+        'document in the store does not match its hash',
+      );
     }
     const body = await peers.body(hash);
     if (body === undefined || hashOf(body) === hash) return body;
-    log.error({event: 'configuration.corrupt', hash}, 'wrong hash from a peer');
+    log.error(
+      {event: 'configuration.corrupt', hash},
+      'document from a peer does not match its hash',
+    );
     return undefined;
   }
 
   private apply({version, hash}: ConfigurationVersion, body: string): void {
-    const {environment, log, onApplied} = this.tools;
+    const {environment, log, onApplied} = this.deps;
     const parsed = parseDocument(body, environment);
     if (!parsed.ok) {
-      this.refusedVersion = version;
+      this.rejectedVersion = version;
       log.error(
         {
           event: 'configuration.refused',
@@ -175,12 +201,12 @@
           hash,
           errors: parsed.err.map(formatDocumentError),
         },
-        'the document is not valid for this VM; the earlier one stays in force',
+        'document is not valid for this VM; the previous one stays in force',
       );
       return;
     }
     this.applied = {version, hash, body};
-    this.wanted = undefined;
+    this.pending = undefined;
     log.info(
       {event: 'configuration.applied', version, hash},
       'configuration applied',
--- a/packages/entry/src/configuration/member_configuration_peers.ts
+++ b/packages/entry/src/configuration/member_configuration_peers.ts
@@ -4,13 +4,13 @@
 import {PeerClients} from '../peers/peer_clients.js';
 import {ConfigurationPeers} from './configuration_peers.js';
 
-/** Peers asked at a time; one that is current and reachable is enough. */
-const ASKED_PEERS = 3;
-const TIMEOUT_MS = 500;
+/** Peers asked at once; one that is reachable and up to date is enough. */
+const MAX_ASKED_PEERS = 3;
+const REQUEST_TIMEOUT_MS = 500;
 
-type Found = Extract<ConfigurationAnswer, {kind: 'found'}>;
+type FoundAnswer = Extract<ConfigurationAnswer, {kind: 'found'}>;
 
-/** Asks some of the VMs that are known to run. */
+/** Asks up to three random VMs that are alive, suspect or only listed. */
 export class MemberConfigurationPeers extends ConfigurationPeers {
   private readonly clients = new PeerClients();
   private addresses: readonly string[] = [];
@@ -19,7 +19,7 @@
     super();
   }
 
-  /** Takes the VMs that may be asked. */
+  /** Updates the VMs that may be asked. */
   viewChanged(view: MembershipView): void {
     this.addresses = [
       ...view.peers
@@ -31,12 +31,12 @@
   }
 
   override async current(): Promise<ConfigurationVersion | undefined> {
-    const found = await this.ask(undefined);
+    const found = await this.askPeers(undefined);
     return found.sort((a, b) => b.version - a.version)[0];
   }
 
   override async body(hash: string): Promise<string | undefined> {
-    const found = await this.ask(hash);
+    const found = await this.askPeers(hash);
     return found.find(answer => answer.hash === hash)?.body;
   }
 
@@ -44,17 +44,19 @@
     this.clients.close();
   }
 
-  private async ask(hash: string | undefined): Promise<Found[]> {
-    const left = [...this.addresses];
+  private async askPeers(hash: string | undefined): Promise<FoundAnswer[]> {
+    const remaining = [...this.addresses];
     const chosen: string[] = [];
-    while (chosen.length < ASKED_PEERS && left.length > 0) {
-      const index = this.random.integer(0, left.length - 1);
-      chosen.push(...left.splice(index, 1));
+    while (chosen.length < MAX_ASKED_PEERS && remaining.length > 0) {
+      const index = this.random.integer(0, remaining.length - 1);
+      chosen.push(...remaining.splice(index, 1));
     }
     const req = hash === undefined ? {} : {hash};
     const answers = await Promise.all(
       chosen.map(address =>
-        this.clients.to(address).configuration(req, {timeoutMs: TIMEOUT_MS}),
+        this.clients
+          .to(address)
+          .configuration(req, {timeoutMs: REQUEST_TIMEOUT_MS}),
       ),
     );
     return answers.flatMap(answer =>
--- a/packages/entry/src/daemon/entry_daemon.ts
+++ b/packages/entry/src/daemon/entry_daemon.ts
@@ -74,7 +74,7 @@
   /** The applied document, for peers that cannot read the store. */
   private document: AppliedDocument | undefined;
   private drainReasons: readonly DrainReason[] = [];
-  private heardVersion = 0;
+  private reportedConfigurationVersion = 0;
 
   constructor(private readonly settings: ProcessSettings) {
     this.log = createLogger(settings.vm.name, settings.log.level);
@@ -348,10 +348,10 @@
   private viewChanged(view: MembershipView): void {
     this.groups.viewChanged(view);
     this.configurationPeers.viewChanged(view);
-    if (view.known.configuration > this.heardVersion) {
-      this.heardVersion = view.known.configuration;
-      const {heardVersion: version} = this;
-      this.configuration.tell({kind: 'heard', version});
+    if (view.known.configuration > this.reportedConfigurationVersion) {
+      this.reportedConfigurationVersion = view.known.configuration;
+      const {reportedConfigurationVersion: version} = this;
+      this.configuration.tell({kind: 'version-reported', version});
     }
     this.quota.viewChanged(view);
   }
--- a/packages/entry/src/lifecycle/__tests__/lifecycle_task.test.ts
+++ b/packages/entry/src/lifecycle/__tests__/lifecycle_task.test.ts
@@ -15,9 +15,9 @@
   return {kind: 'listed', vms} as const;
 }
 
-// Guards against a VM that serves while a reason to drain is left, and against
-// one that does not serve again when the last reason is gone.
-it('reports each change of the reasons to drain once', async () => {
+// Guards against a VM that serves while a drain reason remains, and against one
+// that does not serve again when the last reason has ended.
+it('reports each change of the drain reasons once', async () => {
   const changes: string[] = [];
   const task = new LifecycleTask({
     vm: 'a-1',
--- a/packages/entry/src/lifecycle/lifecycle_task.ts
+++ b/packages/entry/src/lifecycle/lifecycle_task.ts
@@ -3,16 +3,17 @@
 import type {ListedVm} from '@pistachiorill/store';
 import {Task} from '@pistachiorill/tasks';
 
+/** Messages to the lifecycle task. */
 export type LifecycleMessage =
   | {readonly kind: 'listed'; readonly vms: readonly ListedVm[]}
   | {readonly kind: 'configured'; readonly configuration: Configuration}
   | {readonly kind: 'stop-requested'};
 
-/** What the task works with. */
+/** The collaborators of the lifecycle task. */
 export interface LifecycleTools {
   readonly vm: string;
   readonly dataCentre: string;
-  /** Called when the reasons to drain change; without one, the VM serves. */
+  /** Called when the drain reasons change; the VM serves if there are none. */
   readonly onChanged: (
     reasons: readonly DrainReason[],
     before: readonly DrainReason[],
@@ -20,17 +21,21 @@
   readonly onFault: (err: unknown) => void;
 }
 
-/** Owns the reasons why this VM takes no new work. */
+/**
+ * Owns the drain reasons of this VM, which accepts no new work while there is
+ * one. They follow from the platform's list, the configuration and a requested
+ * stop.
+ */
 export class LifecycleTask extends Task<LifecycleMessage> {
   private input: DrainInput;
   private reasons: readonly DrainReason[] = [];
 
-  constructor(private readonly tools: LifecycleTools) {
+  constructor(private readonly deps: LifecycleTools) {
     super();
     this.input = {
       stop: 'not-requested',
       listed: 'not-listed',
-      dataCentre: tools.dataCentre,
+      dataCentre: deps.dataCentre,
       configuration: undefined,
     };
   }
@@ -38,7 +43,7 @@
   protected override handle(message: LifecycleMessage): void {
     switch (message.kind) {
       case 'listed':
-        this.listed(message.vms);
+        this.updateListed(message.vms);
         return;
       case 'configured':
         this.update({configuration: message.configuration});
@@ -50,11 +55,11 @@
   }
 
   protected override onFailure(err: unknown): void {
-    this.tools.onFault(err);
+    this.deps.onFault(err);
   }
 
-  private listed(vms: readonly ListedVm[]): void {
-    const own = vms.find(item => item.vm === this.tools.vm);
+  private updateListed(vms: readonly ListedVm[]): void {
+    const own = vms.find(item => item.vm === this.deps.vm);
     this.update({listed: own?.state ?? 'not-listed'});
   }
 
@@ -63,7 +68,7 @@
     const before = this.reasons;
     this.reasons = drainReasons(this.input);
     if (before.join() !== this.reasons.join()) {
-      this.tools.onChanged(this.reasons, before);
+      this.deps.onChanged(this.reasons, before);
     }
   }
 }
