--- a/packages/entry/src/configuration/configuration_task.ts
+++ b/packages/entry/src/configuration/configuration_task.ts
@@ -91,7 +91,7 @@
         if (this.state() === 'behind') await this.poll();
         break;
       case 'announced':
-        this.applyAnnounced(message.document);
+        this.announced(message.document);
         break;
     }
     this.schedule(this.state() === 'current' ? POLL_MS : RETRY_MS);
@@ -152,7 +152,7 @@
     this.pending = nextConfiguration(version, [this.pending, known]);
   }
 
-  private applyAnnounced(document: AppliedDocument): void {
+  private announced(document: AppliedDocument): void {
     this.considerVersion(document);
     const {pending} = this;
     if (pending?.hash !== document.hash) return;
--- a/packages/entry/src/daemon/create_owned_group.ts
+++ b/packages/entry/src/daemon/create_owned_group.ts
@@ -21,37 +21,40 @@
 import {LocalExecutor} from '../group/local_executor.js';
 import type {OwnedGroup} from '../routing/group_directory.js';
 
-/** What a group that this VM owns needs of the daemon. */
+/** The collaborators of the tasks of an owned group. */
 export interface OwnedGroupTools {
   readonly settings: ProcessSettings;
   readonly table: TableService;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Checks a statement's key again before it is sent. */
+  /** Authenticates a statement again, if needed, before it is sent. */
   readonly recheck: (statement: RoutedStatement) => Result<unknown, Refusal>;
+  /** Returns how many connections this VM may open to a backend server. */
   readonly allowanceOf: (server: BackendServer) => number;
+  /** Sends a failover report to the other VMs that own the group. */
   readonly sendReport: (report: FailoverReport) => void;
+  /** Adds a change to the audit trail. */
   readonly record: (
     change: Pick<AuditEntry, 'action' | 'subject' | 'before' | 'after'>,
   ) => void;
 }
 
-/** Creates the tasks of a group that this VM connects to. */
+/** Creates the tasks of a group that this VM owns, that is, connects to. */
 export function createOwnedGroup(
   database: string,
-  tools: OwnedGroupTools,
+  deps: OwnedGroupTools,
 ): OwnedGroup {
-  const {policy} = tools.settings;
-  const task = createGroupTask(database, tools);
+  const {policy} = deps.settings;
+  const task = createGroupTask(database, deps);
   const executor = new LocalExecutor(
     task,
-    tools.clock,
-    tools.recheck,
+    deps.clock,
+    deps.recheck,
     policy.acknowledge === 'at-primary'
       ? new AtPrimaryAcknowledgementPolicy()
       : new RouteAcknowledgementPolicy(),
   );
-  return {task, executor, failover: createFailover(database, task, tools)};
+  return {task, executor, failover: createFailoverTask(database, task, deps)};
 }
 
 function createGroupTask(
@@ -78,11 +81,11 @@
     clock,
     allowanceOf,
     onFault: err =>
-      log.error({event: 'group.failed', database, err}, 'group failed'),
+      log.error({event: 'group.failed', database, err}, 'group task failed'),
   });
 }
 
-function createFailover(
+function createFailoverTask(
   database: string,
   group: GroupTask,
   {settings, table, clock, log, sendReport, record}: OwnedGroupTools,
--- a/packages/entry/src/daemon/entry_daemon.ts
+++ b/packages/entry/src/daemon/entry_daemon.ts
@@ -48,12 +48,15 @@
 import {createOwnedGroup} from './create_owned_group.js';
 import {PeerPart} from './peer_part.js';
 
-/** Bounds the wait for a store that is down while the VM stops. */
-const LAST_FLUSH_MS = 1_000;
-/** Spreads the audit entries of a fleet; see `AuditOptions`. */
-const AUDIT_SPREAD_MS = 5_000;
+/** Limits the wait for an unavailable store when the VM stops. */
+const FINAL_FLUSH_TIMEOUT_MS = 1_000;
+/** Spreads the audit writes of the fleet over time; see `AuditOptions`. */
+const MAX_AUDIT_DELAY_MS = 5_000;
 
-/** Wires the tasks of one entry VM. */
+/**
+ * The daemon of one entry VM. Creates the tasks, connects them with each other,
+ * and starts and stops them in order.
+ */
 export class EntryDaemon {
   private readonly clock: Clock = () => performance.now();
   private readonly log: Logger;
@@ -71,9 +74,10 @@
   private readonly quota: QuotaPart;
   private readonly groups: GroupDirectory;
   private current: VersionedConfiguration | undefined;
-  /** The applied document, for peers that cannot read the store. */
+  /** The applied document, served to peers that cannot read the store. */
   private document: AppliedDocument | undefined;
   private drainReasons: readonly DrainReason[] = [];
+  /** The highest configuration version that any VM has reported. */
   private reportedConfigurationVersion = 0;
 
   constructor(private readonly settings: ProcessSettings) {
@@ -89,9 +93,10 @@
     this.audit = new AuditTask(objects, {
       writer: `${vm.name}-${randomUUID()}`,
       wallClock: () => new Date(),
-      sendDelayMs: () => random.integer(0, AUDIT_SPREAD_MS),
+      sendDelayMs: () => random.integer(0, MAX_AUDIT_DELAY_MS),
       onBuffered: entries => this.metrics.auditBuffered.set(entries),
-      onFault: err => this.log.error({event: 'audit.failed', err}, 'audit'),
+      onFault: err =>
+        this.log.error({event: 'audit.failed', err}, 'audit task failed'),
     });
     this.configurationPeers = new MemberConfigurationPeers(random);
     this.configuration = new ConfigurationTask({
@@ -112,7 +117,10 @@
       dataCentre: vm.data_centre,
       onChanged: (reasons, before) => this.drainChanged(reasons, before),
       onFault: err =>
-        this.log.error({event: 'lifecycle.failed', err}, 'lifecycle'),
+        this.log.error(
+          {event: 'lifecycle.failed', err},
+          'lifecycle task failed',
+        ),
     });
     this.peers = new PeerPart({
       settings,
@@ -164,10 +172,13 @@
           record: change => this.record(change),
         }),
     });
-    const tools = this.connectionTools();
+    const connectionDeps = this.connectionDeps();
     this.server = new MysqlServer((raw, id) => {
-      const task: ConnectionTask = new ConnectionTask(raw, id, tools, () =>
-        this.connections.delete(task),
+      const task: ConnectionTask = new ConnectionTask(
+        raw,
+        id,
+        connectionDeps,
+        () => this.connections.delete(task),
       );
       this.connections.add(task);
     });
@@ -179,10 +190,11 @@
         this.drainReasons.length === 0
           ? 'ready'
           : 'not-ready',
-      () => this.report(),
+      () => this.statusReport(),
     );
   }
 
+  /** Opens the listeners, joins the fleet and starts polling the store. */
   async start(): Promise<void> {
     await this.status.listen(this.settings.listen.http);
     await this.server.listen(this.settings.listen.clients);
@@ -192,13 +204,16 @@
     this.log.info({event: 'entry.started'}, 'entry started');
   }
 
-  /** Stops gracefully: no new work, and running work finishes. */
+  /**
+   * Stops gracefully: accepts no new work, gives running work the grace time to
+   * finish, returns the share and flushes the audit trail.
+   */
   async stop(): Promise<void> {
     this.lifecycle.tell({kind: 'stop-requested'});
     await this.lifecycle.stop();
     this.server.close();
     await this.peers.leave();
-    await this.untilIdle(this.clock() + this.settings.limits.grace_ms);
+    await this.waitUntilIdle(this.clock() + this.settings.limits.grace_ms);
     await this.quota.leave();
     await this.quota.stop();
     await this.configuration.stop();
@@ -216,7 +231,7 @@
     );
     let timer: NodeJS.Timeout | undefined;
     const limit = new Promise<void>(resolve => {
-      timer = setTimeout(resolve, LAST_FLUSH_MS);
+      timer = setTimeout(resolve, FINAL_FLUSH_TIMEOUT_MS);
     });
     await Promise.race([flushed, limit]);
     clearTimeout(timer);
@@ -226,13 +241,13 @@
     return this.connections.size > 0 ? 'busy' : this.peers.activity;
   }
 
-  private async untilIdle(until: number): Promise<void> {
+  private async waitUntilIdle(until: number): Promise<void> {
     while (this.activity === 'busy' && this.clock() < until) {
       await new Promise(resolve => setTimeout(resolve, 20));
     }
   }
 
-  private connectionTools(): ConnectionTools {
+  private connectionDeps(): ConnectionTools {
     const {clock} = this;
     const executors: ExecutorLookup = database =>
       this.groups.executor(database);
@@ -259,11 +274,11 @@
     return {
       current: this.current,
       confirmation: this.peers.confirmation,
-      lifecycle: this.lifecycleNow(),
+      lifecycle: this.currentLifecycle(),
     };
   }
 
-  private lifecycleNow(): Lifecycle {
+  private currentLifecycle(): Lifecycle {
     return this.drainReasons.length === 0 ? 'serving' : 'draining';
   }
 
@@ -283,7 +298,7 @@
       after: `version ${version}`,
     });
     this.lifecycle.tell({kind: 'configured', configuration});
-    this.contextChanged();
+    this.notifyContextChanged();
   }
 
   private drainChanged(
@@ -291,27 +306,28 @@
     before: readonly DrainReason[],
   ): void {
     this.drainReasons = reasons;
-    const draining = reasons.length > 0;
-    this.metrics.draining.set(draining ? 1 : 0);
+    const isDraining = reasons.length > 0;
+    this.metrics.draining.set(isDraining ? 1 : 0);
     this.log.info(
-      {event: draining ? 'entry.draining' : 'entry.serving', reasons},
-      draining ? 'this VM takes no new work' : 'this VM takes new work',
+      {event: isDraining ? 'entry.draining' : 'entry.serving', reasons},
+      isDraining ? 'VM drains and accepts no new work' : 'VM accepts new work',
     );
     this.record({
-      action: draining ? 'drain-started' : 'drain-ended',
+      action: isDraining ? 'drain-started' : 'drain-ended',
       subject: `vm/${this.settings.vm.name}`,
       before: before.join(', ') || 'serving',
       after: reasons.join(', ') || 'serving',
     });
-    this.quota.lifecycleChanged(draining ? 'draining' : 'serving');
-    // A VM in a data centre that is out may return, so its peers keep it.
+    this.quota.lifecycleChanged(isDraining ? 'draining' : 'serving');
+    // Only a VM that the platform lists as leaving leaves the fleet. A VM in a
+    // data centre that is out of service may return, so its peers keep it.
     const isListed = reasons.includes('listed-leaving');
     if (isListed && !before.includes('listed-leaving')) void this.peers.leave();
     if (!isListed && before.includes('listed-leaving')) this.peers.return();
-    this.contextChanged();
+    this.notifyContextChanged();
   }
 
-  private contextChanged(): void {
+  private notifyContextChanged(): void {
     for (const task of this.connections) task.tell({kind: 'context-changed'});
   }
 
@@ -324,7 +340,7 @@
     this.audit.tell({kind: 'record', entry});
   }
 
-  private async report(): Promise<VmStatus> {
+  private async statusReport(): Promise<VmStatus> {
     const {vm} = this.settings;
     const views = await Promise.all(
       this.groups.ownedTasks.map(group =>
@@ -337,7 +353,7 @@
       environment: vm.environment,
       version: this.current?.version ?? 0,
       hash: this.current?.hash ?? '',
-      lifecycle: this.lifecycleNow(),
+      lifecycle: this.currentLifecycle(),
       drainReasons: [...this.drainReasons],
       confirmation: this.peers.confirmation,
       connections: this.connections.size,
@@ -356,15 +372,18 @@
     this.quota.viewChanged(view);
   }
 
-  /** Checks the key again if what is known has changed since the arrival. */
+  /**
+   * Authenticates a statement again if the configuration or the confirmation
+   * has changed since the statement arrived.
+   */
   private recheck(statement: RoutedStatement): Result<unknown, Refusal> {
     const context = this.context();
     const {current, confirmation} = statement.context;
-    const unchanged =
+    const isUnchanged =
       !context ||
       (context.current.version === current.version &&
         context.confirmation === confirmation);
-    if (unchanged) return ok(statement);
+    if (isUnchanged) return ok(statement);
     return this.authenticate.run({...statement, context});
   }
 }
--- a/packages/entry/src/daemon/peer_part.ts
+++ b/packages/entry/src/daemon/peer_part.ts
@@ -26,7 +26,7 @@
 import {EntryPeerHandlers} from '../peers/entry_peer_handlers.js';
 import type {PeerServices} from '../peers/entry_peer_handlers.js';
 
-/** What the part needs of the daemon. */
+/** The collaborators of the peer subsystem. */
 export interface PeerPartTools {
   readonly settings: ProcessSettings;
   readonly list: VmList;
@@ -36,11 +36,16 @@
   readonly services: PeerServices;
   readonly onView: (view: MembershipView) => void;
   readonly onListed: (vms: readonly ListedVm[]) => void;
+  /** Returns the executor of a database whose group this VM owns. */
   readonly local: (database: string) => GroupExecutor | undefined;
+  /** Returns the context for statements that peers forward to this VM. */
   readonly context: () => StatementContext | undefined;
 }
 
-/** Wires the tasks through which this VM acts together with the others. */
+/**
+ * Wires the tasks that talk to other VMs: membership, forwarding to the owner
+ * of a group, and the server for requests of peers.
+ */
 export class PeerPart {
   readonly self: PeerRecord;
   readonly forward: ForwardTools;
@@ -51,10 +56,10 @@
   private readonly server: PeerServer;
   private confirmedUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly tools: PeerPartTools) {
-    const {settings, clock, log} = tools;
+  constructor(private readonly deps: PeerPartTools) {
+    const {settings, clock, log} = deps;
     const onFault = (err: unknown): void => {
-      log.error({event: 'peers.failed', err}, 'internal error');
+      log.error({event: 'peers.failed', err}, 'peer task or server failed');
     };
     this.self = {
       vm: settings.vm.name,
@@ -67,49 +72,50 @@
     this.membership = new MembershipTask({
       self: this.self,
       incarnation: Date.now(),
-      list: tools.list,
+      list: deps.list,
       random: new Random(Date.now() | 0),
       clock,
-      payloads: tools.payloads,
+      payloads: deps.payloads,
       onView: view => {
         this.confirmedUntil = view.confirmedUntil;
-        tools.onView(view);
+        deps.onView(view);
       },
-      onListed: tools.onListed,
+      onListed: deps.onListed,
       onFault,
     });
     this.owner = new OwnerTask({
-      local: tools.local,
-      context: tools.context,
+      local: deps.local,
+      context: deps.context,
       clock,
       onFault,
     });
     this.server = new PeerServer(
       servedPeers(
-        new EntryPeerHandlers(this.membership, this.owner, tools.services),
+        new EntryPeerHandlers(this.membership, this.owner, deps.services),
       ),
       onFault,
     );
   }
 
+  /** Listens for peers and starts probing. */
   async start(): Promise<void> {
-    await this.server.listen(this.tools.settings.listen.peers);
+    await this.server.listen(this.deps.settings.listen.peers);
     this.membership.tell({kind: 'start'});
   }
 
-  /** Whether this VM's versions are proven current at present. */
+  /** Whether this VM's versions are proven to be the current ones. */
   get confirmation(): Confirmation {
-    return this.tools.clock() < this.confirmedUntil
+    return this.deps.clock() < this.confirmedUntil
       ? 'confirmed'
       : 'unconfirmed';
   }
 
-  /** Whether other VMs have work under way here. */
+  /** Whether this VM has running work of other VMs. */
   get activity(): 'idle' | 'busy' {
     return this.owner.activity;
   }
 
-  /** Takes the result of a poll of the store. */
+  /** Passes the row versions of a poll of the store to the membership task. */
   versionsRead(read: VersionRead): void {
     for (const row of ['configuration', 'ledger'] as const) {
       const {startedAt} = read;
@@ -117,26 +123,27 @@
     }
   }
 
-  /** Takes any other news about versions, such as one that came into force. */
+  /** Passes on other authority events, such as a version coming into force. */
   learn(event: AuthorityEvent): void {
     this.membership.tell({kind: 'authority', event});
   }
 
-  /** Tells the peers that this VM leaves, so that they forward elsewhere. */
+  /** Announces that this VM leaves, so that peers forward to other VMs. */
   leave(): Promise<void> {
     return ask(reply => this.membership.tell({kind: 'leave', reply}));
   }
 
-  /** Tells the peers that this VM takes work again after it left. */
+  /** Announces that this VM accepts work again after it left. */
   return(): void {
     this.membership.tell({kind: 'return'});
   }
 
-  /** Sends a failover report to the VMs that poll the same group. */
+  /** Sends a failover report to the other VMs that poll the same group. */
   sendReport(report: FailoverReport, owners: readonly OwnerTarget[]): void {
     for (const owner of owners) void this.calls.report(owner, report);
   }
 
+  /** Stops the tasks and closes the server and the clients. */
   async stop(): Promise<void> {
     await this.membership.stop();
     await this.keepAlive.stop();
--- a/packages/entry/src/http/group_status.ts
+++ b/packages/entry/src/http/group_status.ts
@@ -2,27 +2,31 @@
 import type {GroupView, MemberView} from '@pistachiorill/core';
 import type {GroupStatus, MemberStatus} from '@pistachiorill/store';
 
-/** What operators see of a group. */
+/**
+ * Builds the status of a group for operators. The lag of a member is the
+ * distance of its applied position from the last entry that the primary
+ * has received.
+ */
 export function groupStatus(view: GroupView): GroupStatus {
   const primary = currentPrimary(view);
-  const end = primary?.state?.received.position;
+  const endPosition = primary?.state?.received.position;
   return {
     database: view.database,
     term: Math.max(0, ...view.members.map(m => m.state?.fencedTerm ?? 0)),
     ...(primary ? {primary: primary.backendServer} : {}),
-    members: view.members.map(member => memberStatus(member, end)),
+    members: view.members.map(member => memberStatus(member, endPosition)),
   };
 }
 
 function memberStatus(
   member: MemberView,
-  end: number | undefined,
+  endPosition: number | undefined,
 ): MemberStatus {
   const {state} = member;
   const lag =
-    end === undefined || !state
+    endPosition === undefined || !state
       ? {}
-      : {lagEntries: Math.max(0, end - state.applied.position)};
+      : {lagEntries: Math.max(0, endPosition - state.applied.position)};
   return {
     backendServer: member.backendServer,
     dataCentre: member.dataCentre,
--- a/packages/entry/src/http/status_server.ts
+++ b/packages/entry/src/http/status_server.ts
@@ -4,7 +4,7 @@
 import type {VmStatus} from '@pistachiorill/store';
 import type {Metrics} from '@pistachiorill/telemetry';
 
-/** Whether the platform's balancer should send callers here. */
+/** Whether the platform's load balancer should send clients to this VM. */
 export type Readiness = 'ready' | 'not-ready';
 
 /** Serves `/healthz`, `/readyz`, `/status` and `/metrics`. */
@@ -45,6 +45,7 @@
     });
   }
 
+  /** Starts listening; rejects if the address cannot be used. */
   listen(address: string): Promise<void> {
     const {host, port} = splitAddress(address);
     return new Promise((resolve, reject) => {
@@ -53,6 +54,7 @@
     });
   }
 
+  /** Closes the server and all its connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,2 +1,2 @@
-/** The daemon on each entry VM. */
+/** The daemon that runs on each entry VM. */
 export {EntryDaemon} from './daemon/entry_daemon.js';
--- a/packages/entry/src/measure/membership.ts
+++ b/packages/entry/src/measure/membership.ts
@@ -1,7 +1,7 @@
 /**
- * Measures the control traffic and the CPU time of membership for each VM. All
- * VMs run in this process and talk over the loopback interface, so the figures
- * show how the cost grows with the fleet.
+ * Measures the control traffic and the CPU time of the membership protocol for
+ * each VM. All VMs run in this process and communicate over the loopback
+ * interface, so the figures show how the cost grows with the fleet.
  */
 import {performance} from 'node:perf_hooks';
 import {
@@ -20,15 +20,16 @@
 import type {MembershipView} from '../membership/membership_view.js';
 import {EntryPeerHandlers} from '../peers/entry_peer_handlers.js';
 
-const SIZES = (process.argv[2] ?? '4,16,64').split(',').map(Number);
+const FLEET_SIZES = (process.argv[2] ?? '4,16,64').split(',').map(Number);
 const WINDOW_MS = 10_000;
 const PORT = 42_000;
 const STORE_POLL_MS = 1_000;
 const START_INTERVAL_MS = 100;
-const JOIN_LIMIT_MS = 30_000;
+const JOIN_TIMEOUT_MS = 30_000;
 const REPORT_INTERVAL_MS = 200;
 const MAX_THREADS = 8;
 
+/** Returns the same list of VMs on every read. */
 class FixedList extends VmList {
   constructor(private readonly vms: readonly ListedVm[]) {
     super();
@@ -39,6 +40,7 @@
   }
 }
 
+/** One VM of the fleet, with its membership task and peer server. */
 class MeasuredVm {
   view: MembershipView | undefined;
   readonly server: PeerServer;
@@ -109,13 +111,15 @@
   }
 }
 
-/** What one thread reports about its VMs. */
+/** The figures that one thread reports for its VMs. */
 interface ThreadReport {
+  /** Bytes that the peer servers have sent and received. */
   readonly bytes: number;
-  /** VMs that know all others as alive. */
+  /** The number of VMs that regard all others as alive. */
   readonly complete: number;
 }
 
+/** The VMs that one thread runs: `count` entries of the list from `first`. */
 interface ThreadInput {
   readonly list: readonly ListedVm[];
   readonly first: number;
@@ -126,7 +130,7 @@
   return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-/** Runs some of the VMs in this thread and reports about them. */
+/** Runs some of the VMs in this thread and reports their figures. */
 async function runThread({list, first, count}: ThreadInput): Promise<void> {
   const vms = list
     .slice(first, first + count)
@@ -146,6 +150,7 @@
   }, REPORT_INTERVAL_MS);
 }
 
+/** Measures a fleet and returns its row of the result table. */
 async function measure(size: number): Promise<string> {
   const list = Array.from({length: size}, (unused, index): ListedVm => ({
     vm: `vm-${index}`,
@@ -153,7 +158,7 @@
     address: `127.0.1.${index + 1}:${PORT}`,
     state: 'live',
   }));
-  // VMs that share a thread delay each other, so there are several threads.
+  // VMs in the same thread delay each other, so several threads are used.
   const threads = Math.min(size, MAX_THREADS);
   const count = size / threads;
   const reports = new Map<number, ThreadReport>();
@@ -164,23 +169,23 @@
     worker.on('message', (report: ThreadReport) => reports.set(index, report));
     return worker;
   });
-  const sum = (name: keyof ThreadReport): number =>
-    [...reports.values()].reduce((total, report) => total + report[name], 0);
+  const total = (name: keyof ThreadReport): number =>
+    [...reports.values()].reduce((sum, report) => sum + report[name], 0);
   while (
-    sum('complete') < size &&
-    performance.now() - startedAt < JOIN_LIMIT_MS
+    total('complete') < size &&
+    performance.now() - startedAt < JOIN_TIMEOUT_MS
   ) {
     await wait(50);
   }
   const joinedAfterMs = performance.now() - startedAt;
-  // Lets the news of the start fade out.
+  // Waits until the gossip about the start has ceased.
   await wait(WINDOW_MS);
-  const bytesBefore = sum('bytes');
+  const bytesBefore = total('bytes');
   const cpuBefore = process.cpuUsage();
   await wait(WINDOW_MS);
-  const bytes = sum('bytes') - bytesBefore;
+  const bytes = total('bytes') - bytesBefore;
   const cpu = process.cpuUsage(cpuBefore);
-  const incomplete = size - sum('complete');
+  const incomplete = size - total('complete');
   await Promise.all(workers.map(worker => worker.terminate()));
   const seconds = WINDOW_MS / 1_000;
   // Each byte is sent by one VM and received by another.
@@ -191,10 +196,10 @@
 
 if (isMainThread) {
   console.log(
-    '| VMs | all known after s | bytes/s sent and received for each VM | % of a core for each VM | VMs that lack one |',
+    '| VMs | fleet complete after s | bytes/s sent and received per VM | % of a core per VM | VMs with an incomplete view |',
   );
   console.log('|---|---|---|---|---|');
-  for (const size of SIZES) console.log(await measure(size));
+  for (const size of FLEET_SIZES) console.log(await measure(size));
 } else {
   await runThread(workerData as ThreadInput);
 }
--- a/packages/entry/src/peers/entry_peer_handlers.ts
+++ b/packages/entry/src/peers/entry_peer_handlers.ts
@@ -25,7 +25,7 @@
 import type {OwnerTask} from '../forward/owner_task.js';
 import type {MembershipTask} from '../membership/membership_task.js';
 
-/** Answers requests for other parts of the daemon. */
+/** Handlers of requests that belong to other subsystems of the daemon. */
 export interface PeerServices {
   readonly configuration: (
     req: ConfigurationRequest,
@@ -36,7 +36,10 @@
   readonly report: (report: FailoverReport) => void;
 }
 
-/** Passes the requests of other VMs to the tasks that own their subjects. */
+/**
+ * Handles the requests of peers by passing each one to the task that owns the
+ * state it concerns.
+ */
 export class EntryPeerHandlers extends PeerHandlers {
   constructor(
     private readonly membership: MembershipTask,
--- a/packages/entry/src/peers/peer_clients.ts
+++ b/packages/entry/src/peers/peer_clients.ts
@@ -1,9 +1,10 @@
 import {PeerClient} from '@pistachiorill/peers';
 
-/** The clients of one task, one for each address. */
+/** The peer clients of one task, one for each address. */
 export class PeerClients {
   private readonly clients = new Map<string, PeerClient>();
 
+  /** Returns the client for an address, creating it on first use. */
   to(address: string): PeerClient {
     const existing = this.clients.get(address);
     if (existing) return existing;
@@ -12,7 +13,7 @@
     return client;
   }
 
-  /** Closes the clients of VMs that are gone. */
+  /** Closes the clients of all other addresses. */
   retain(addresses: ReadonlySet<string>): void {
     for (const [address, client] of this.clients) {
       if (addresses.has(address)) continue;
@@ -21,6 +22,7 @@
     }
   }
 
+  /** Closes all clients. */
   close(): void {
     this.retain(new Set());
   }
