--- a/packages/entry/src/daemon/entry_daemon.ts
+++ b/packages/entry/src/daemon/entry_daemon.ts
@@ -95,8 +95,7 @@
       wallClock: () => new Date(),
       sendDelayMs: () => random.integer(0, MAX_AUDIT_DELAY_MS),
       onBuffered: entries => this.metrics.auditBuffered.set(entries),
-      onFault: err =>
-        this.log.error({event: 'audit.failed', err}, 'audit task failed'),
+      onFault: err => this.log.error({event: 'audit.failed', err}, 'audit'),
     });
     this.configurationPeers = new MemberConfigurationPeers(random);
     this.configuration = new ConfigurationTask({
@@ -190,7 +189,7 @@
         this.drainReasons.length === 0
           ? 'ready'
           : 'not-ready',
-      () => this.statusReport(),
+      () => this.report(),
     );
   }
 
@@ -340,7 +339,7 @@
     this.audit.tell({kind: 'record', entry});
   }
 
-  private async statusReport(): Promise<VmStatus> {
+  private async report(): Promise<VmStatus> {
     const {vm} = this.settings;
     const views = await Promise.all(
       this.groups.ownedTasks.map(group =>
