--- a/packages/entry/src/daemon/entry_daemon.ts
+++ b/packages/entry/src/daemon/entry_daemon.ts
@@ -116,10 +116,7 @@
       dataCentre: vm.data_centre,
       onChanged: (reasons, before) => this.drainChanged(reasons, before),
       onFault: err =>
-        this.log.error(
-          {event: 'lifecycle.failed', err},
-          'lifecycle task failed',
-        ),
+        this.log.error({event: 'lifecycle.failed', err}, 'lifecycle'),
     });
     this.peers = new PeerPart({
       settings,
