--- a/packages/entry/src/daemon/peer_part.ts
+++ b/packages/entry/src/daemon/peer_part.ts
@@ -48,6 +48,7 @@
  */
 export class PeerPart {
   readonly self: PeerRecord;
+  /** What is needed to forward statements to the owners of a group. */
   readonly forward: ForwardTools;
   private readonly calls = new PeerOwnerCalls();
   private readonly keepAlive: KeepAliveTask;
--- a/packages/entry/src/quota/ledger_task.ts
+++ b/packages/entry/src/quota/ledger_task.ts
@@ -112,9 +112,12 @@
   private lifecycle: Lifecycle = 'serving';
   private holding: 'share' | 'nothing' = 'share';
   private reclaimMode: ReclaimMode = 'forbidden';
+  /** When this VM first saw each instance down. */
   private downSince = new Map<string, number>();
+  /** The ledger version that each instance has reported as applied. */
   private applied: ReadonlyMap<string, number> = new Map();
   private unsettled: readonly UnsettledWrite[] = [];
+  /** The reclaims in progress, by the instance that loses its share. */
   private progress = new Map<string, ReclaimProgress>();
   private timer: NodeJS.Timeout | undefined;
 
--- a/packages/entry/src/quota/quota_part.ts
+++ b/packages/entry/src/quota/quota_part.ts
@@ -40,6 +40,7 @@
 
 /** Wires the tasks that enforce the rate limits of the workspaces. */
 export class QuotaPart {
+  /** The rate limit filter for the statement pipeline. */
   readonly filter: AdmitFilter;
   private readonly quota: QuotaTask;
   private readonly ledger: LedgerTask;
