--- a/packages/mysql/src/__tests__/backend_connection.test.ts
+++ b/packages/mysql/src/__tests__/backend_connection.test.ts
@@ -27,23 +27,23 @@
     });
     servers.push(server);
     const port = await server.listen('127.0.0.1:0');
-    const login = {user: 'proxy', password: ''};
+    const credentials = {user: 'proxy', password: ''};
     const opened = await BackendConnection.open(
       `127.0.0.1:${port}`,
-      login,
+      credentials,
       5_000,
     );
     if (!opened.ok) throw new Error(opened.err.detail);
     return opened.value;
   }
 
-  function shown(result: Result<StatementResult, BackendError>): string {
+  function outcomeOf(result: Result<StatementResult, BackendError>): string {
     return result.ok ? 'answered' : result.err.kind;
   }
 
-  // Guards against a late answer that reaches the next statement on the same
-  // connection.
-  it('is not used again after an answer that came too late', async () => {
+  // Guards against a late response that is taken for the response to the next
+  // statement on the same connection.
+  it('is not reused after a response that arrives after its timeout', async () => {
     let sendLate: () => void = () => undefined;
     const connection = await connect((server, sql) => {
       if (sql === 'LATE') sendLate = () => server.sendResult(DONE);
@@ -53,25 +53,25 @@
     sendLate();
     const next = await connection.query('NEXT', 5_000);
     expect({
-      late: shown(late),
-      next: shown(next),
+      late: outcomeOf(late),
+      next: outcomeOf(next),
       usable: connection.usable,
     }).toMatchSnapshot();
   });
 
-  // Guards against refusals before execution that are reported as executed, and
-  // the reverse.
-  it('tells what did not run from what failed', async () => {
+  // Guards against a statement that is refused before execution and reported as
+  // executed, and the reverse.
+  it('distinguishes statements that did not run from failed ones', async () => {
     const connection = await connect((server, sql) => {
       const errno = Number(sql);
       server.sendError({errno, sqlState: 'HY000', message: 'refused'});
     });
     const kinds: Record<string, string> = {};
     for (const errno of ['1290', '1040', '1062', '1213']) {
-      kinds[errno] = shown(await connection.query(errno, 5_000));
+      kinds[errno] = outcomeOf(await connection.query(errno, 5_000));
     }
     connection.close();
-    kinds['closed'] = shown(await connection.query('1062', 5_000));
+    kinds['closed'] = outcomeOf(await connection.query('1062', 5_000));
     expect(kinds).toMatchSnapshot();
   });
 });
--- a/packages/mysql/src/__tests__/server_connection.test.ts
+++ b/packages/mysql/src/__tests__/server_connection.test.ts
@@ -4,7 +4,7 @@
 import {ServerConnection} from '../server_connection.js';
 import type {RawServerConnection} from '../server_connection.js';
 
-/** A client's socket that records what happens to it. */
+/** A client socket that records how the connection ends it. */
 class FakeStream extends EventEmitter {
   readonly actions: string[] = [];
   writableNeedDrain = false;
@@ -67,15 +67,16 @@
     vi.useRealTimers();
   });
 
-  // Guards against connections that never authenticate and are kept for ever.
-  it('closes a client that sends no credentials', () => {
+  // Guards against connections that never authenticate and stay open forever.
+  it('disconnects a client that sends no credentials', () => {
     const {raw} = open();
     vi.advanceTimersByTime(10_000);
     expect(raw.stream.actions).toMatchSnapshot();
   });
 
-  // Guards against a reply that stays in memory because nobody reads it.
-  it('closes a client that does not read its reply', () => {
+  // Guards against a response that stays in memory because the client does not
+  // read it.
+  it('disconnects a client that does not read its response', () => {
     const {raw, connection} = open();
     raw.sendCredentials();
     raw.stream.writableNeedDrain = true;
@@ -85,8 +86,8 @@
     expect(raw.stream.actions).toMatchSnapshot();
   });
 
-  // Guards against a request that fills the memory of the process.
-  it('closes a client whose request is too large', () => {
+  // Guards against a request that exhausts the memory of the process.
+  it('disconnects a client whose request is too large', () => {
     const {raw} = open();
     for (let sent = 0; sent < 3; sent += 1) {
       raw.stream.emit('data', Buffer.alloc(6_000_000));
@@ -94,8 +95,9 @@
     expect(raw.stream.actions).toMatchSnapshot();
   });
 
-  // Guards against a byte count that adds up over several requests.
-  it('counts the bytes of each request anew', () => {
+  // Guards against a byte count that accumulates over several requests, so
+  // that a client is disconnected although each request is within the limit.
+  it('resets the byte count with each request', () => {
     const {raw} = open();
     for (let sent = 0; sent < 3; sent += 1) {
       raw.stream.emit('data', Buffer.alloc(6_000_000));
@@ -104,9 +106,10 @@
     expect(raw.stream.actions).toMatchSnapshot();
   });
 
-  // Guards against a request that is cut by a planned stop: it crosses with
-  // the close and must be told that it did not run.
-  it('answers a request that crosses with the close', () => {
+  // Guards against a request without a response after a planned stop: the
+  // client sends it before it sees the close, and must receive an error that
+  // states that the request did not run.
+  it('sends an error for a request that crosses with the close', () => {
     const {raw, connection} = open();
     raw.sendCredentials();
     connection.closeWith({
--- a/packages/mysql/src/backend_connection.ts
+++ b/packages/mysql/src/backend_connection.ts
@@ -7,6 +7,7 @@
 import {MYSQL_ERRNO} from './backend_error.js';
 import type {BackendError} from './backend_error.js';
 
+/** How to authenticate at a backend server, and from which address. */
 export interface BackendCredentials {
   readonly user: string;
   readonly password: string;
@@ -14,13 +15,13 @@
   readonly localAddress?: string;
 }
 
-/** Errors that say that a statement was not executed. */
+/** Error numbers that guarantee that the statement was not executed. */
 const REFUSED_BEFORE_EXECUTION: ReadonlySet<number> = new Set([
   MYSQL_ERRNO.optionPreventsStatement,
   MYSQL_ERRNO.tooManyConnections,
 ]);
 
-/** Field attributes that mysql2 fills in but does not declare. */
+/** Field attributes that mysql2 sets but its types do not declare. */
 interface RawField extends FieldPacket {
   readonly characterSet: number;
   readonly columnLength: number;
@@ -30,13 +31,17 @@
 type RawRow = Array<Buffer | null>;
 
 /**
- * One connection to a backend server. A connection whose answer was not read
- * completely is closed, so that a late answer never reaches another statement.
+ * One connection to a backend server. A connection is closed unless the whole
+ * response to a statement was read, so that a late response is never taken for
+ * the response to the next statement.
  */
 export class BackendConnection {
   private state: 'open' | 'closed' = 'open';
-  /** Ends the statement under way, as mysql2 forgets it on a close. */
-  private abandon: ((detail: string) => void) | undefined;
+  /**
+   * Settles the pending statement as `lost`. Needed because mysql2 never calls
+   * back for a statement that is pending when the connection is destroyed.
+   */
+  private failPending: ((detail: string) => void) | undefined;
 
   private constructor(private readonly connection: Connection) {
     connection.on('error', () => this.close());
@@ -54,7 +59,7 @@
     const connection = createConnection({
       ...(localAddress === undefined
         ? {}
-        : {stream: () => connectFrom(localAddress, host, port)}),
+        : {stream: () => connectSocketFrom(localAddress, host, port)}),
       host,
       port,
       user: credentials.user,
@@ -71,16 +76,17 @@
           return;
         }
         connection.destroy();
-        resolve(fail(notRun(err)));
+        resolve(fail(toNotRun(err)));
       });
     });
   }
 
+  /** Whether the connection can run another statement. */
   get usable(): boolean {
     return this.state === 'open';
   }
 
-  /** Runs one statement. Closes the connection when no answer comes in time. */
+  /** Runs one statement. Closes the connection on a timeout. */
   query(
     sql: string,
     timeoutMs: number,
@@ -97,30 +103,30 @@
       );
       const settle = (result: Result<StatementResult, BackendError>): void => {
         clearTimeout(timer);
-        this.abandon = undefined;
+        this.failPending = undefined;
         resolve(result);
       };
-      this.abandon = detail => settle(fail({kind: 'lost', detail}));
+      this.failPending = detail => settle(fail({kind: 'lost', detail}));
       this.connection.query(sql, (err, rows, fields) => {
         settle(err ? this.failed(err) : ok(toResult(rows, fields)));
       });
     });
   }
 
-  /** Closes the connection. A statement under way ends as lost. */
+  /** Closes the connection. A pending statement fails as `lost`. */
   close(detail = 'the connection was closed'): void {
     this.state = 'closed';
     this.connection.destroy();
-    this.abandon?.(detail);
+    this.failPending?.(detail);
   }
 
   private failed(err: QueryError): Result<StatementResult, BackendError> {
     if (err.errno === undefined || err.fatal) {
-      this.abandon = undefined;
+      this.failPending = undefined;
       this.close();
       return fail({kind: 'lost', detail: err.code ?? err.message});
     }
-    if (REFUSED_BEFORE_EXECUTION.has(err.errno)) return fail(notRun(err));
+    if (REFUSED_BEFORE_EXECUTION.has(err.errno)) return fail(toNotRun(err));
     return fail({
       kind: 'statement-error',
       errno: err.errno,
@@ -130,7 +136,11 @@
   }
 }
 
-function connectFrom(localAddress: string, host: string, port: number): Socket {
+function connectSocketFrom(
+  localAddress: string,
+  host: string,
+  port: number,
+): Socket {
   const socket = createSocket({host, port, localAddress});
   socket.setNoDelay(true);
   return socket;
@@ -143,7 +153,7 @@
   return {host, port: Number(address.slice(colon + 1))};
 }
 
-function notRun(err: QueryError): BackendError {
+function toNotRun(err: QueryError): BackendError {
   return {
     kind: 'not-run',
     errno: err.errno ?? 0,
--- a/packages/mysql/src/index.ts
+++ b/packages/mysql/src/index.ts
@@ -1,4 +1,4 @@
-/** MySQL wire protocol adapters for callers and backend servers. */
+/** The MySQL wire protocol on connections to clients and backend servers. */
 export {BackendConnection, splitAddress} from './backend_connection.js';
 export type {BackendCredentials} from './backend_connection.js';
 export {MYSQL_ERRNO} from './backend_error.js';
--- a/packages/mysql/src/native_password.ts
+++ b/packages/mysql/src/native_password.ts
@@ -1,15 +1,15 @@
 import {createHash, timingSafeEqual} from 'node:crypto';
 
-const VERIFIER_BYTES = 20;
+const SHA1_BYTES = 20;
 
-/** Returns the verifier that a document stores for a key. */
+/** Computes the verifier that a document stores for a key: SHA1(SHA1(key)). */
 export function verifierOf(key: string): string {
   return sha1(sha1(Buffer.from(key))).toString('hex');
 }
 
 /**
- * Checks the answer to a mysql_native_password challenge. The client sends
- * SHA1(key) XOR SHA1(challenge + verifier), so the key itself is never seen.
+ * Checks the response to a mysql_native_password challenge. The client sends
+ * SHA1(key) XOR SHA1(challenge + verifier), so it never sends the key itself.
  */
 export function matchesVerifier(
   answer: Uint8Array,
@@ -17,7 +17,7 @@
   verifier: string,
 ): boolean {
   const stored = Buffer.from(verifier, 'hex');
-  if (answer.length !== VERIFIER_BYTES || stored.length !== VERIFIER_BYTES) {
+  if (answer.length !== SHA1_BYTES || stored.length !== SHA1_BYTES) {
     return false;
   }
   const mask = sha1(Buffer.concat([challenge, stored]));
--- a/packages/mysql/src/server.ts
+++ b/packages/mysql/src/server.ts
@@ -15,7 +15,7 @@
   private readonly raw = createRawServer();
   private nextId = 1;
 
-  /** `onConnection` gets each accepted connection with its number. */
+  /** Calls `onConnection` with each accepted connection and its unique id. */
   constructor(onConnection: (raw: RawServerConnection, id: number) => void) {
     this.raw.on('connection', raw => {
       onConnection(raw, this.nextId);
@@ -23,7 +23,7 @@
     });
   }
 
-  /** Listens on `host:port` and returns the port in use. */
+  /** Listens on `host:port` and returns the bound port, as port 0 picks one. */
   listen(address: string): Promise<number> {
     const {host, port} = splitAddress(address);
     return new Promise((resolve, reject) => {
@@ -35,13 +35,13 @@
     });
   }
 
-  /** Stops accepting; open connections stay open. */
+  /** Stops accepting connections; established ones stay open. */
   close(): void {
     this.raw.close(() => undefined);
   }
 }
 
-/** The declared type of `createServer` asks for a handler that is optional. */
+/** Casts, as the types of mysql2 require a handler that is optional. */
 function createRawServer(): RawServer {
   const create = mysql2.createServer as unknown as () => RawServer;
   return create();
--- a/packages/mysql/src/server_connection.ts
+++ b/packages/mysql/src/server_connection.ts
@@ -2,7 +2,7 @@
 import type {ResultColumn, StatementResult} from '@pistachiorill/core';
 import {RawPacket} from './raw_packet.js';
 
-/** Protocol features offered: no compression, TLS or multi-statements. */
+/** Offered protocol features, without compression, TLS or multi-statements. */
 const CAPABILITIES = [
   0x1, // long password
   0x2, // found rows
@@ -15,48 +15,50 @@
   0x80000, // authentication plugin name
 ].reduce((all, flag) => all | flag, 0);
 const CHARACTER_SET_UTF8MB4 = 45;
-const STATUS_AUTOCOMMIT = 2;
+const SERVER_STATUS_AUTOCOMMIT = 2;
 
-/** A request is packet 0, so its reply starts with packet 1. */
+/** A request is packet 0, so its response starts with packet 1. */
 const FIRST_REPLY_SEQUENCE_ID = 1;
 
-/** A client that has not sent its credentials by then is disconnected. */
+/** Time limit for a client to send its credentials. */
 const HANDSHAKE_TIMEOUT_MS = 10_000;
 
-/** Idle time after which the system probes whether the client is still there. */
-const KEEP_ALIVE_MS = 30_000;
+/** Idle time before the operating system sends TCP keep-alive probes. */
+const TCP_KEEP_ALIVE_DELAY_MS = 30_000;
 
-/** A client that reads nothing of its reply for this long is disconnected. */
+/** Time after which a client that does not read its response is disconnected. */
 const SLOW_READER_TIMEOUT_MS = 30_000;
 
-/** The most bytes of one request that are buffered, as in the protocol. */
+/** Limits the buffer for one request; the protocol has the same packet limit. */
 const MAX_REQUEST_BYTES = 16_777_216;
 
-const TOO_LARGE: ClientError = {
+const REQUEST_TOO_LARGE: ClientError = {
   errno: 1153,
   sqlState: '08S01',
   message: `not run: too-large: a request may have ${MAX_REQUEST_BYTES} bytes`,
 };
 
-/** What a client sent in its handshake. */
+/** The login of a client. */
 export interface HandshakeRequest {
   readonly user: string;
   readonly database: string;
+  /** The challenge that the server sent in its greeting. */
   readonly challenge: Uint8Array;
+  /** The client's response to the challenge; see `matchesVerifier`. */
   readonly answer: Uint8Array;
 }
 
-/** An error to send to a client. */
+/** The fields of an error packet to a client. */
 export interface ClientError {
   readonly errno: number;
   readonly sqlState: string;
   readonly message: string;
 }
 
-/** The part of mysql2's server connection that is used here. */
+/** The part of mysql2's server connection that this module uses. */
 export interface RawServerConnection {
   readonly stream: Socket;
-  /** Number of the next packet within the present request. */
+  /** Sequence number of the next packet in the current exchange. */
   sequenceId: number;
   serverHandshake(args: object): void;
   on(event: string, listener: (...args: unknown[]) => void): void;
@@ -69,12 +71,12 @@
   _resetSequenceId(): void;
 }
 
-/** Called with what a client does, one call at a time for each connection. */
+/** Handlers for a client's actions; calls for one connection never overlap. */
 export interface ServerConnectionEvents {
-  /** Returns the error to answer a handshake with, if it is refused. */
+  /** Returns the error to send if the login is refused. */
   readonly onHandshake: (req: HandshakeRequest) => ClientError | undefined;
   readonly onQuery: (sql: string) => void;
-  /** A command other than a query; `reason` tells why it is refused. */
+  /** Called for an unsupported command; `reason` states why it is refused. */
   readonly onUnsupported: (reason: string) => void;
   readonly onClose: () => void;
 }
@@ -85,11 +87,11 @@
   field_list: 'the field list command is not supported',
 };
 
-/** The server side of one client's connection. */
+/** The server side of a client connection. */
 export class ServerConnection {
   private state: 'open' | 'closed' = 'open';
   private requestBytes = 0;
-  private slowReader: NodeJS.Timeout | undefined;
+  private slowReaderTimer: NodeJS.Timeout | undefined;
   private readonly handshakeTimer: NodeJS.Timeout;
 
   constructor(
@@ -97,12 +99,15 @@
     private readonly connectionId: number,
     private readonly events: ServerConnectionEvents,
   ) {
-    // Replies are several small writes; without this each takes about 40 ms.
+    // A response consists of several small writes. With Nagle's algorithm it
+    // would take about 40 ms.
     raw.stream.setNoDelay(true);
-    raw.stream.setKeepAlive(true, KEEP_ALIVE_MS);
-    raw.stream.on('data', (chunk: Buffer) => this.countBytes(chunk.length));
+    raw.stream.setKeepAlive(true, TCP_KEEP_ALIVE_DELAY_MS);
+    raw.stream.on('data', (chunk: Buffer) =>
+      this.countRequestBytes(chunk.length),
+    );
     raw.stream.on('end', () => this.close());
-    raw.stream.on('drain', () => clearTimeout(this.slowReader));
+    raw.stream.on('drain', () => clearTimeout(this.slowReaderTimer));
     this.handshakeTimer = setTimeout(() => this.close(), HANDSHAKE_TIMEOUT_MS);
     raw.on('query', sql => {
       this.requestBytes = 0;
@@ -122,7 +127,7 @@
       protocolVersion: 10,
       serverVersion,
       connectionId: this.connectionId,
-      statusFlags: STATUS_AUTOCOMMIT,
+      statusFlags: SERVER_STATUS_AUTOCOMMIT,
       characterSet: CHARACTER_SET_UTF8MB4,
       capabilityFlags: CAPABILITIES,
       authCallback: (req: RawHandshake, done: HandshakeDone) => {
@@ -131,10 +136,12 @@
     });
   }
 
+  /** The client's IP address, or `unknown` once the socket is destroyed. */
   get remoteAddress(): string {
     return this.raw.stream.remoteAddress ?? 'unknown';
   }
 
+  /** Sends the result of the current request; does nothing once closed. */
   sendResult(result: StatementResult): void {
     if (this.state === 'closed') return;
     if (result.kind === 'done') {
@@ -150,9 +157,10 @@
       this.raw.writeEof();
     }
     this.raw._resetSequenceId();
-    this.watchReader();
+    this.startSlowReaderTimer();
   }
 
+  /** Sends an error for the current request; does nothing once closed. */
   sendError(err: ClientError): void {
     if (this.state === 'closed') return;
     this.raw.writePacket(RawPacket.error(err.errno, err.sqlState, err.message));
@@ -164,9 +172,9 @@
   }
 
   /**
-   * Closes with an error that answers a request which is already under way
-   * from the client. Such a request is not handed on any more, so an error that
-   * says "not run" is true for it.
+   * Sends an error and closes. The client takes the error for the response to a
+   * request that it sends before it sees the close. Such a request is never
+   * passed to `onQuery`, so an error that states "not run" is correct for it.
    */
   closeWith(err: ClientError): void {
     if (this.state === 'closed') return;
@@ -175,7 +183,7 @@
     this.close();
   }
 
-  /** Closes after what was written has been sent. */
+  /** Closes the connection after all written data has been sent. */
   close(): void {
     if (this.state === 'closed') return;
     this.raw.stream.end();
@@ -203,18 +211,18 @@
     this.raw._resetSequenceId();
   }
 
-  /** Limits what a client can make this process buffer. */
-  private countBytes(count: number): void {
+  /** Limits the memory that a client's request can occupy. */
+  private countRequestBytes(count: number): void {
     this.requestBytes += count;
     if (this.requestBytes <= MAX_REQUEST_BYTES) return;
-    this.sendError(TOO_LARGE);
+    this.sendError(REQUEST_TOO_LARGE);
     this.close();
   }
 
-  private watchReader(): void {
+  private startSlowReaderTimer(): void {
     if (!this.raw.stream.writableNeedDrain) return;
-    clearTimeout(this.slowReader);
-    this.slowReader = setTimeout(() => {
+    clearTimeout(this.slowReaderTimer);
+    this.slowReaderTimer = setTimeout(() => {
       this.raw.stream.destroy();
       this.closed();
     }, SLOW_READER_TIMEOUT_MS);
@@ -224,7 +232,7 @@
     if (this.state === 'closed') return;
     this.state = 'closed';
     clearTimeout(this.handshakeTimer);
-    clearTimeout(this.slowReader);
+    clearTimeout(this.slowReaderTimer);
     this.events.onClose();
   }
 }
--- a/packages/mysql/src/sql_group_control.ts
+++ b/packages/mysql/src/sql_group_control.ts
@@ -5,7 +5,10 @@
 import type {BackendError} from './backend_error.js';
 import {GroupControl} from './group_control.js';
 
-/** Control operations as SQL calls on a connection that is kept open. */
+/**
+ * Runs the control operations as SQL statements on one persistent connection,
+ * which is reopened when it has closed.
+ */
 export class SqlGroupControl extends GroupControl {
   private connection: BackendConnection | undefined;
 
@@ -62,7 +65,7 @@
   }
 }
 
-/** Reads the single row of `SHOW GROUP STATE`. */
+/** Decodes the single row of `SHOW GROUP STATE`. */
 export function decodeMemberState(result: StatementResult): MemberState {
   const values = new Map<string, string>();
   if (result.kind === 'rows') {
@@ -71,23 +74,23 @@
       values.set(column.name, value ? Buffer.from(value).toString() : '');
     });
   }
-  const number = (name: string): number => Number(values.get(name) ?? 0);
+  const readNumber = (name: string): number => Number(values.get(name) ?? 0);
   return {
     role: values.get('role') === 'primary' ? 'primary' : 'replica',
-    term: number('term'),
+    term: readNumber('term'),
     received: {
-      term: number('received_term'),
-      position: number('received_position'),
+      term: readNumber('received_term'),
+      position: readNumber('received_position'),
     },
     applied: {
-      term: number('applied_term'),
-      position: number('applied_position'),
+      term: readNumber('applied_term'),
+      position: readNumber('applied_position'),
     },
-    fencedTerm: number('fenced_term'),
+    fencedTerm: readNumber('fenced_term'),
     fencedOwner: values.get('fenced_owner') ?? '',
-    connections: number('connections'),
-    connectionLimit: number('connection_limit'),
-    slots: number('slots'),
+    connections: readNumber('connections'),
+    connectionLimit: readNumber('connection_limit'),
+    slots: readNumber('slots'),
   };
 }
 
--- a/packages/peers/src/__tests__/peer_client.test.ts
+++ b/packages/peers/src/__tests__/peer_client.test.ts
@@ -42,12 +42,12 @@
 }
 
 describe('PeerClient', () => {
-  const closers: Array<() => void> = [];
+  const cleanups: Array<() => void> = [];
   afterEach(() => {
-    for (const close of closers.splice(0)) close();
+    for (const close of cleanups.splice(0)) close();
   });
 
-  async function freePort(onConnect?: Server): Promise<number> {
+  async function listenOnFreePort(onConnect?: Server): Promise<number> {
     const server = onConnect ?? createServer();
     await new Promise<void>(r => server.listen(0, '127.0.0.1', r));
     return (server.address() as AddressInfo).port;
@@ -55,42 +55,42 @@
 
   async function closedPort(): Promise<number> {
     const server = createServer();
-    const port = await freePort(server);
+    const port = await listenOnFreePort(server);
     await new Promise(r => server.close(r));
     return port;
   }
 
   function client(port: number): PeerClient {
     const peer = new PeerClient(`127.0.0.1:${port}`);
-    closers.push(() => peer.close());
+    cleanups.push(() => peer.close());
     return peer;
   }
 
-  // Guards against a refused connection that is reported as unknown, and a
-  // sent request that is reported as certainly not executed.
-  it('separates what was never sent from what has no answer', async () => {
+  // Guards against a refused connection that is reported as an unknown outcome,
+  // and a sent request that is reported as not executed.
+  it('distinguishes requests that were not sent from unanswered ones', async () => {
     const port = await closedPort();
     const faults: unknown[] = [];
     const server = new PeerServer(servedPeers(new FakeHandlers()), e =>
       faults.push(e),
     );
     await server.listen(`127.0.0.1:${port}`);
-    closers.push(() => server.close());
+    cleanups.push(() => server.close());
     const aborted = new AbortController();
     const silent = createServer(socket => {
       // The client resets a connection whose request timed out.
       socket.on('error', () => undefined);
-      closers.push(() => socket.destroy());
-      // Aborts only after the request was sent.
+      cleanups.push(() => socket.destroy());
+      // Aborts after the request was sent.
       socket.once('data', () => aborted.abort());
     });
-    const silentPort = await freePort(silent);
-    closers.push(() => silent.close());
+    const silentPort = await listenOnFreePort(silent);
+    cleanups.push(() => silent.close());
     const dropping = createServer(socket =>
       socket.once('data', () => socket.destroy()),
     );
-    const droppingPort = await freePort(dropping);
-    closers.push(() => dropping.close());
+    const droppingPort = await listenOnFreePort(dropping);
+    cleanups.push(() => dropping.close());
     const peer = client(port);
     const options = {timeoutMs: 2_000};
     const pending = client(silentPort).status({
@@ -109,7 +109,7 @@
       invalidInput: await peer.loan({...loan, ratePpm: -1}, options),
       internalError: await peer.status(options),
       refusedConnection: await client(await closedPort()).status(options),
-      // Remaining times of deadlines have fractions.
+      // The remaining time until a deadline may have a fraction.
       silent: await client(silentPort).status({timeoutMs: 1_000.5}),
       dropped: await client(droppingPort).status(options),
       aborted: await pending,
--- a/packages/peers/src/call_peer.ts
+++ b/packages/peers/src/call_peer.ts
@@ -4,19 +4,19 @@
 import {TransportError} from './http_call.js';
 import type {PeerError} from './peer_error.js';
 
-/** How long a call waits, and what may end it earlier. */
+/** The timeout of a call, and a signal that may abort it earlier. */
 export interface CallOptions {
   readonly timeoutMs: number;
   readonly signal?: AbortSignal;
 }
 
-/** The options of one call as the link reads them. */
+/** The options of one call as `peerLink` reads them. */
 interface LinkOptions {
   readonly context: {readonly timeoutMs: number};
   readonly signal?: AbortSignal;
 }
 
-/** Makes one call and turns its exceptions into errors of this layer. */
+/** Makes one call and converts its exceptions to `PeerError`. */
 export async function callPeer<T>(
   {timeoutMs, signal}: CallOptions,
   send: (options: LinkOptions) => Promise<T>,
@@ -29,8 +29,8 @@
   }
 }
 
-/** Errors of requests that reached no handler. */
-const REJECTED_CODES = new Set([
+/** tRPC error codes of requests that did not reach a handler. */
+const REJECTION_CODES = new Set([
   'BAD_REQUEST',
   'NOT_FOUND',
   'PARSE_ERROR',
@@ -46,7 +46,7 @@
     return {kind: cause.kind, detail: cause.message};
   }
   const code = (err.data as {code?: string} | undefined)?.code;
-  return code !== undefined && REJECTED_CODES.has(code)
+  return code !== undefined && REJECTION_CODES.has(code)
     ? {kind: 'rejected', detail: `${code}: ${err.message}`}
     : {kind: 'no-answer', detail: err.message};
 }
--- a/packages/peers/src/http_adapter.ts
+++ b/packages/peers/src/http_adapter.ts
@@ -9,24 +9,24 @@
 import type {AnyRouter} from '@trpc/server';
 import {TRPC_ERROR_CODES_BY_KEY} from '@trpc/server/rpc';
 
-/** Larger than any statement that a VM accepts, in its JSON form. */
+/** Larger than the JSON encoding of any statement that a VM accepts. */
 const MAX_BODY_BYTES = 16 * 1_048_576;
 
-interface Answer {
+interface HttpResponse {
   readonly status: number;
   readonly body: string;
 }
 
-/** The procedures that a server offers, and what they work on. */
+/** A tRPC router and the context that its procedures receive. */
 export interface ServedRouter {
   readonly router: AnyRouter;
   readonly context: object;
 }
 
 /**
- * Serves a router over `node:http`. The standalone adapter of tRPC passes
- * each request through a web `Request` and streams, which takes about 1.5 ms of
- * CPU time more for each call.
+ * Serves a router over `node:http`. The standalone adapter of tRPC is not used,
+ * as it converts each request to a web `Request` with streams, which costs
+ * about 1.5 ms more CPU time per call.
  */
 export function createPeerHttpServer(
   served: ServedRouter,
@@ -35,7 +35,7 @@
   return createServer((req, res) => {
     readBody(req)
       .then(body => call(served, req, body))
-      .catch(err => errorAnswer(err, onFault))
+      .catch(err => toErrorResponse(err, onFault))
       .then(answer => send(res, answer))
       .catch(onFault);
   });
@@ -63,7 +63,7 @@
   {router, context}: ServedRouter,
   req: IncomingMessage,
   body: string,
-): Promise<Answer> {
+): Promise<HttpResponse> {
   const data = await callTRPCProcedure({
     router,
     path: (req.url ?? '').slice(1),
@@ -85,7 +85,10 @@
   }
 }
 
-function errorAnswer(err: unknown, onFault: (err: unknown) => void): Answer {
+function toErrorResponse(
+  err: unknown,
+  onFault: (err: unknown) => void,
+): HttpResponse {
   const error = getTRPCErrorFromUnknown(err);
   if (error.code === 'INTERNAL_SERVER_ERROR') onFault(error);
   return {
@@ -100,7 +103,7 @@
   };
 }
 
-function send(res: ServerResponse, {status, body}: Answer): void {
+function send(res: ServerResponse, {status, body}: HttpResponse): void {
   res.writeHead(status, {
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(body),
--- a/packages/peers/src/http_call.ts
+++ b/packages/peers/src/http_call.ts
@@ -1,7 +1,10 @@
 import {request} from 'node:http';
 import type {Agent} from 'node:http';
 
-/** Reports through `kind` whether any byte of a request may have been sent. */
+/**
+ * A failed request. `kind` is `unreachable` if no byte of it was sent, and
+ * `no-answer` if some may have been.
+ */
 export class TransportError extends Error {
   constructor(
     readonly kind: 'unreachable' | 'no-answer',
@@ -11,7 +14,7 @@
   }
 }
 
-/** One request over HTTP. */
+/** The parameters of one HTTP request. */
 export interface HttpCall {
   readonly method?: 'GET' | 'POST';
   readonly headers?: Readonly<Record<string, string>>;
@@ -24,19 +27,21 @@
   readonly signal: AbortSignal | undefined;
 }
 
+/** The status and the whole body of a response. */
 export interface HttpAnswer {
   readonly status: number;
   readonly body: string;
 }
 
-/** Posts a body and returns the body of the answer. */
+/** Sends a request and returns the response body, whatever its status. */
 export async function httpCall(call: HttpCall): Promise<string> {
   return (await httpExchange(call)).body;
 }
 
 /**
- * Sends a request and returns the answer. The built-in `fetch` does
- * not tell whether a request was sent before it failed.
+ * Sends a request and returns the response, or throws a `TransportError`. The
+ * built-in `fetch` is not used, as its errors do not show whether the request
+ * was sent.
  */
 export function httpExchange(call: HttpCall): Promise<HttpAnswer> {
   return new Promise((resolve, reject) => {
@@ -57,7 +62,8 @@
       req.destroy(new Error('aborted'));
     };
     const timer = setTimeout(() => {
-      // A reset takes back what is held up on its way, where it still can.
+      // Resets the connection, which discards request data that has not been
+      // delivered yet.
       req.socket?.resetAndDestroy();
       req.destroy(new Error(`no answer within ${call.timeoutMs} ms`));
     }, call.timeoutMs);
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -1,4 +1,4 @@
-/** tRPC between the VMs. */
+/** Remote procedure calls between the VMs, with tRPC. */
 export {PeerClient} from './peer_client.js';
 export {callPeer} from './call_peer.js';
 export type {CallOptions} from './call_peer.js';
--- a/packages/peers/src/peer_client.ts
+++ b/packages/peers/src/peer_client.ts
@@ -33,12 +33,12 @@
   RollbackRequest,
 } from './procedures/transaction_schema.js';
 
-type Answer<T> = Promise<Result<T, PeerError>>;
+type PeerResult<T> = Promise<Result<T, PeerError>>;
 
-/** Shorter than the server's limit; see `PeerServer`. */
+/** Shorter than the server's keep-alive timeout; see `PeerServer`. */
 const IDLE_TIMEOUT_MS = 30_000;
 
-/** Sends requests to one other VM. */
+/** Calls the procedures of one other VM. */
 export class PeerClient {
   private readonly agent = new Agent({
     keepAlive: true,
@@ -53,71 +53,75 @@
     });
   }
 
-  probe(gossip: Gossip, options: CallOptions): Answer<Gossip> {
+  probe(gossip: Gossip, options: CallOptions): PeerResult<Gossip> {
     return call(options, o => this.client.probe.mutate(gossip, o));
   }
 
   probeIndirect(
     req: ProbeIndirectRequest,
     options: CallOptions,
-  ): Answer<ProbeIndirectAnswer> {
+  ): PeerResult<ProbeIndirectAnswer> {
     return call(options, o => this.client.probeIndirect.mutate(req, o));
   }
 
   configuration(
     req: ConfigurationRequest,
     options: CallOptions,
-  ): Answer<ConfigurationAnswer> {
+  ): PeerResult<ConfigurationAnswer> {
     return call(options, o => this.client.configuration.mutate(req, o));
   }
 
-  announce(announcement: Announcement, options: CallOptions): Answer<void> {
+  announce(announcement: Announcement, options: CallOptions): PeerResult<void> {
     return call(options, o => this.client.announce.mutate(announcement, o));
   }
 
-  ledger(req: LedgerRequest, options: CallOptions): Answer<LedgerAnswer> {
+  ledger(req: LedgerRequest, options: CallOptions): PeerResult<LedgerAnswer> {
     return call(options, o => this.client.ledger.mutate(req, o));
   }
 
-  loan(req: LoanRequest, options: CallOptions): Answer<LoanAnswer> {
+  loan(req: LoanRequest, options: CallOptions): PeerResult<LoanAnswer> {
     return call(options, o => this.client.loan.mutate(req, o));
   }
 
-  report(report: FailoverReport, options: CallOptions): Answer<void> {
+  report(report: FailoverReport, options: CallOptions): PeerResult<void> {
     return call(options, o => this.client.report.mutate(report, o));
   }
 
-  forward(req: ForwardRequest, options: CallOptions): Answer<ForwardAnswer> {
+  forward(
+    req: ForwardRequest,
+    options: CallOptions,
+  ): PeerResult<ForwardAnswer> {
     return call(options, o => this.client.forward.mutate(req, o));
   }
 
-  begin(req: BeginRequest, options: CallOptions): Answer<BeginAnswer> {
+  begin(req: BeginRequest, options: CallOptions): PeerResult<BeginAnswer> {
     return call(options, o => this.client.begin.mutate(req, o));
   }
 
   executeIn(
     req: ExecuteInRequest,
     options: CallOptions,
-  ): Answer<ForwardAnswer> {
+  ): PeerResult<ForwardAnswer> {
     return call(options, o => this.client.executeIn.mutate(req, o));
   }
 
-  commit(req: CommitRequest, options: CallOptions): Answer<ForwardAnswer> {
+  commit(req: CommitRequest, options: CallOptions): PeerResult<ForwardAnswer> {
     return call(options, o => this.client.commit.mutate(req, o));
   }
 
-  rollback(req: RollbackRequest, options: CallOptions): Answer<void> {
+  rollback(req: RollbackRequest, options: CallOptions): PeerResult<void> {
     return call(options, o => this.client.rollback.mutate(req, o));
   }
 
-  keepAlive(req: KeepAliveRequest, options: CallOptions): Answer<void> {
+  keepAlive(req: KeepAliveRequest, options: CallOptions): PeerResult<void> {
     return call(options, o => this.client.keepAlive.mutate(req, o));
   }
 
-  status(options: CallOptions): Answer<StatusAnswer> {
+  status(options: CallOptions): PeerResult<StatusAnswer> {
     return call(options, o => this.client.status.mutate(undefined, o));
   }
 
+  /** Closes the connections to the VM. */
   close(): void {
     this.agent.destroy();
   }
--- a/packages/peers/src/peer_handlers.ts
+++ b/packages/peers/src/peer_handlers.ts
@@ -25,7 +25,10 @@
   RollbackRequest,
 } from './procedures/transaction_schema.js';
 
-/** What a VM does with the requests of other VMs. */
+/**
+ * The handlers of a VM for the requests of other VMs. `PEER_ROUTER` documents
+ * each procedure.
+ */
 export abstract class PeerHandlers {
   abstract probe(gossip: Gossip): Promise<Gossip>;
   abstract probeIndirect(
--- a/packages/peers/src/peer_link.ts
+++ b/packages/peers/src/peer_link.ts
@@ -6,14 +6,14 @@
 import type {TRPCResultMessage} from '@trpc/server/rpc';
 import {httpCall} from './http_call.js';
 
-type Body =
+type ResponseBody =
   | {readonly result: TRPCResultMessage<unknown>['result']}
   | {readonly error: {readonly message: string; readonly code: number}};
 
 /**
- * The last link of the client. It posts over `node:http` and takes the timeout
- * from the call's context; an abort signal for each call costs more CPU time
- * than the encoding of a probe.
+ * The terminating link of the client, which posts over `node:http`. The timeout
+ * comes from the call's context, because an abort signal for each call costs
+ * more CPU time than the encoding of a probe.
  */
 export function peerLink<R extends AnyRouter>(
   address: string,
@@ -35,7 +35,7 @@
           signal: op.signal ?? undefined,
         })
           .then(text => {
-            const body = JSON.parse(text) as Body;
+            const body = JSON.parse(text) as ResponseBody;
             if ('error' in body) {
               observer.error(TRPCClientError.from(body as never));
               return;
--- a/packages/peers/src/peer_router.ts
+++ b/packages/peers/src/peer_router.ts
@@ -32,4 +32,5 @@
   status,
 });
 
+/** The type of `PEER_ROUTER`, from which the client derives its calls. */
 export type PeerRouter = typeof PEER_ROUTER;
--- a/packages/peers/src/peer_server.ts
+++ b/packages/peers/src/peer_server.ts
@@ -4,12 +4,12 @@
 import type {ServedRouter} from './http_adapter.js';
 
 /**
- * Longer than clients keep an idle connection, so that the client closes first
- * and no request meets a closing connection.
+ * Longer than the idle timeout of `PeerClient`, so that the client closes first
+ * and sends no request on a connection that the server is closing.
  */
 const KEEP_ALIVE_TIMEOUT_MS = 60_000;
 
-/** Bytes of the requests and the answers, with HTTP headers. */
+/** Bytes of requests and responses, including HTTP headers. */
 export interface PeerTraffic {
   readonly received: number;
   readonly sent: number;
@@ -23,7 +23,7 @@
 
   constructor(served: ServedRouter, onFault: (err: unknown) => void) {
     this.server = createPeerHttpServer(served, onFault);
-    this.server.on('connection', socket => this.count(socket));
+    this.server.on('connection', socket => this.trackTraffic(socket));
     this.server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   }
 
@@ -38,17 +38,21 @@
     });
   }
 
-  /** The traffic since the start, as the control cost of a VM is limited. */
+  /**
+   * The traffic since the start, for checks of the limit on the control cost of
+   * a VM.
+   */
   get traffic(): PeerTraffic {
     return [...this.sockets].map(trafficOf).reduce(add, this.closedTraffic);
   }
 
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
 
-  private count(socket: Socket): void {
+  private trackTraffic(socket: Socket): void {
     this.sockets.add(socket);
     socket.once('close', () => {
       this.sockets.delete(socket);
--- a/packages/peers/src/procedures/announce.ts
+++ b/packages/peers/src/procedures/announce.ts
@@ -1,7 +1,10 @@
 import {ANNOUNCE_SCHEMA} from './announce_schema.js';
 import {t} from './procedure.js';
 
-/** Gives a version that is in force to a VM that may not reach the store. */
+/**
+ * Sends the configuration version in force to a VM that may be unable to reach
+ * the store.
+ */
 export const announce = t.procedure
   .input(ANNOUNCE_SCHEMA)
   .mutation(({ctx, input}) => ctx.handlers.announce(input));
--- a/packages/peers/src/procedures/announce_schema.ts
+++ b/packages/peers/src/procedures/announce_schema.ts
@@ -1,9 +1,9 @@
 import {ENVIRONMENTS} from '@pistachiorill/core';
 import {z} from 'zod';
 
-/** A configuration version that is in force, with the body of its document. */
+/** A configuration version in force, with the body of its document. */
 export const ANNOUNCE_SCHEMA = z.object({
-  /** A VM of another environment ignores it. */
+  /** VMs of other environments ignore the announcement. */
   environment: z.enum(ENVIRONMENTS),
   version: z.number().int().positive(),
   hash: z.string(),
--- a/packages/peers/src/procedures/configuration_schema.ts
+++ b/packages/peers/src/procedures/configuration_schema.ts
@@ -1,10 +1,11 @@
 import {z} from 'zod';
 
-/** Asks for a document body by its hash, or for the version in force. */
+/** Requests a document body by hash, or the version in force without one. */
 export const CONFIGURATION_SCHEMA = z.object({hash: z.string().optional()});
 
 export type ConfigurationRequest = z.infer<typeof CONFIGURATION_SCHEMA>;
 
+/** The requested document, if the receiving VM has it. */
 export type ConfigurationAnswer =
   | {
       readonly kind: 'found';
--- a/packages/peers/src/procedures/forward_schema.ts
+++ b/packages/peers/src/procedures/forward_schema.ts
@@ -29,8 +29,8 @@
 ]);
 
 /**
- * A routed statement between VMs. Times are durations, since the clocks of two
- * VMs cannot be compared.
+ * A routed statement as one VM forwards it to another. Times are durations,
+ * because the clocks of two VMs cannot be compared.
  */
 export const WIRE_STATEMENT_SCHEMA = z.object({
   connectionId: z.string(),
@@ -58,9 +58,9 @@
   route: ROUTE_SCHEMA,
   maxAgeMs: z.number(),
   requirement: REQUIREMENT_SCHEMA,
-  /** How long ago the statement arrived when it was sent on. */
+  /** Time from the statement's arrival until it was forwarded. */
   elapsedMs: z.number().nonnegative(),
-  /** How long the caller still waits. */
+  /** Time until the caller's deadline. */
   remainingMs: z.number().nonnegative(),
 });
 
@@ -84,7 +84,7 @@
   z.object({
     kind: z.literal('rows'),
     columns: z.array(COLUMN_SCHEMA),
-    /** Cells in base64. */
+    /** Cell values in base64; null for SQL NULL. */
     rows: z.array(z.array(z.string().nullable())),
   }),
   z.object({
@@ -94,9 +94,11 @@
   }),
 ]);
 
+/** The reply of a backend server as one VM returns it to another. */
 export const WIRE_REPLY_SCHEMA = z.object({
   result: WIRE_RESULT_SCHEMA,
   database: z.string(),
+  /** The log position that later reads of the session must cover. */
   seen: z.object({term: z.number(), position: z.number()}).nullable(),
   backendServer: z.string(),
   servedBy: z.enum(['primary', 'replica']),
@@ -104,7 +106,7 @@
 
 export type WireReply = z.infer<typeof WIRE_REPLY_SCHEMA>;
 
-/** What the owner of a group answers to a forwarded statement. */
+/** The response of a group's owner to a forwarded statement. */
 export type ForwardAnswer =
   | {readonly ok: true; readonly value: WireReply}
   | {readonly ok: false; readonly err: Refusal};
--- a/packages/peers/src/procedures/ledger_schema.ts
+++ b/packages/peers/src/procedures/ledger_schema.ts
@@ -1,14 +1,15 @@
 import {z} from 'zod';
 
-/** Asks for the row of the ledger in a version of at least `version`. */
+/** Requests the ledger row if its version is at least `version`. */
 export const LEDGER_SCHEMA = z.object({
-  /** A VM of another environment has no answer. */
+  /** The key of the row. VMs of other environments return `missing`. */
   key: z.string(),
   version: z.number().int().positive(),
 });
 
 export type LedgerRequest = z.infer<typeof LEDGER_SCHEMA>;
 
+/** The ledger row, if the receiving VM has a version that is new enough. */
 export type LedgerAnswer =
   | {
       readonly kind: 'found';
--- a/packages/peers/src/procedures/loan_schema.ts
+++ b/packages/peers/src/procedures/loan_schema.ts
@@ -1,7 +1,7 @@
 import type {LoanGrant, LoanRequest} from '@pistachiorill/core';
 import {z} from 'zod';
 
-/** Asks for part of the lender's share or tokens of a workspace. */
+/** Requests part of the lender's share or tokens of a workspace. */
 export const LOAN_SCHEMA: z.ZodType<LoanRequest> = z.object({
   requestId: z.string(),
   borrower: z.string(),
@@ -12,7 +12,7 @@
   tokens: z.number().nonnegative(),
 }) as z.ZodType<LoanRequest>;
 
-/** The lender's answer. All amounts are 0 when it lends nothing. */
+/** The lender's response. All amounts are 0 if it lends nothing. */
 export type LoanAnswer = LoanGrant;
 
 export type {LoanRequest};
--- a/packages/peers/src/procedures/probe.ts
+++ b/packages/peers/src/procedures/probe.ts
@@ -1,7 +1,7 @@
 import {GOSSIP_SCHEMA} from './probe_schema.js';
 import {t} from './procedure.js';
 
-/** Tells a VM that the sender is alive and exchanges news. */
+/** Shows that the sender is alive and exchanges membership and version data. */
 export const probe = t.procedure
   .input(GOSSIP_SCHEMA)
   .mutation(({ctx, input}) => ctx.handlers.probe(input));
--- a/packages/peers/src/procedures/probe_schema.ts
+++ b/packages/peers/src/procedures/probe_schema.ts
@@ -1,12 +1,14 @@
 import {z} from 'zod';
 
-/** A probe carries at most this many membership changes. */
+/** Limits the number of membership changes in one probe. */
 export const MAX_PIGGYBACKED_CHANGES = 32;
 
+/** A VM as other VMs reach it. */
 export const PEER_RECORD_SCHEMA = z.object({
   vm: z.string(),
   dataCentre: z.string(),
   address: z.string(),
+  /** Identifies one run of the VM's process. */
   instance: z.string(),
 });
 
@@ -15,21 +17,26 @@
   ledger: z.number().int().nonnegative(),
 });
 
+/** The versions at the sender. */
 export const VERSION_REPORT_SCHEMA = z.object({
+  /** The newest versions that the sender has received. */
   known: VERSIONS_SCHEMA,
   applied: VERSIONS_SCHEMA,
+  /** Time since `known` was proven current; null if it never was. */
   proofAgeMs: z.number().nonnegative().nullable(),
 });
 
+/** A membership change that spreads with the probes. */
 export const MEMBERSHIP_CHANGE_SCHEMA = z.object({
   peer: PEER_RECORD_SCHEMA,
   state: z.enum(['alive', 'suspect', 'down', 'left']),
+  /** Incremented by the VM itself to refute a suspicion. */
   incarnation: z.number().int().nonnegative(),
 });
 
 /**
- * What two VMs tell each other with a probe and its answer. `suspicions` and
- * `spareQuota` are read by the failover and quota code only.
+ * The body of a probe and of its response. `suspicions` and `spareQuota` are
+ * decoded by the failover and the quota code.
  */
 export const GOSSIP_SCHEMA = z.object({
   from: PEER_RECORD_SCHEMA,
--- a/packages/peers/src/procedures/status.ts
+++ b/packages/peers/src/procedures/status.ts
@@ -1,4 +1,4 @@
 import {t} from './procedure.js';
 
-/** Reports the state of the receiving VM to the operators' program. */
+/** Returns the state of the receiving VM to the operators' program. */
 export const status = t.procedure.mutation(({ctx}) => ctx.handlers.status());
--- a/packages/peers/src/procedures/status_schema.ts
+++ b/packages/peers/src/procedures/status_schema.ts
@@ -1,6 +1,6 @@
 import type {PeerRecord, PeerState, VersionReport} from '@pistachiorill/core';
 
-/** What a VM reports to the operators' program. */
+/** The state that a VM returns to the operators' program. */
 export interface StatusAnswer {
   readonly peer: PeerRecord;
   readonly versions: VersionReport;
--- a/packages/peers/src/served_peers.ts
+++ b/packages/peers/src/served_peers.ts
@@ -2,7 +2,7 @@
 import type {PeerHandlers} from './peer_handlers.js';
 import {PEER_ROUTER} from './peer_router.js';
 
-/** The procedures of an entry VM with the handlers that answer them. */
+/** Binds the procedures of an entry VM to the handlers that implement them. */
 export function servedPeers(handlers: PeerHandlers): ServedRouter {
   return {router: PEER_ROUTER, context: {handlers}};
 }
--- a/packages/store/src/http_call.ts
+++ b/packages/store/src/http_call.ts
@@ -2,24 +2,27 @@
 import type {Result} from '@pistachiorill/core';
 import type {PlatformError} from './platform_error.js';
 
+/** A response with a status below 500. */
 export interface HttpAnswer {
   readonly status: number;
   readonly body: string;
 }
 
-/** The settings of the platform's HTTP interface. */
+/** How to reach the platform's HTTP interface. */
 export interface PlatformEndpoint {
-  /** Base address such as `http://10.0.0.1:7000`. */
+  /** Base URL such as `http://10.0.0.1:7000`. */
   readonly baseUrl: string;
+  /** Time limit of one request, including its response body. */
   readonly timeoutMs: number;
 }
 
-const SERVER_ERROR = 500;
-const SERVICE_UNAVAILABLE = 503;
+const FIRST_SERVER_ERROR_STATUS = 500;
+const SERVICE_UNAVAILABLE_STATUS = 503;
 
 /**
- * Sends one request. A lost answer is `unknown-outcome` unless the connection
- * was refused, because the request may have taken effect.
+ * Sends one request. A request without a response is reported as
+ * `unknown-outcome`, because it may have taken effect, unless the connection
+ * was refused.
  */
 export async function httpCall(
   endpoint: PlatformEndpoint,
@@ -32,10 +35,13 @@
       signal: AbortSignal.timeout(endpoint.timeoutMs),
     });
     const body = await res.text();
-    if (res.status >= SERVER_ERROR) {
-      // A gateway that gave up says nothing about the request's effect.
+    if (res.status >= FIRST_SERVER_ERROR_STATUS) {
+      // Other server errors, such as a gateway timeout, do not show whether
+      // the request took effect.
       const kind =
-        res.status === SERVICE_UNAVAILABLE ? 'unavailable' : 'unknown-outcome';
+        res.status === SERVICE_UNAVAILABLE_STATUS
+          ? 'unavailable'
+          : 'unknown-outcome';
       return fail({kind, detail: `HTTP status ${res.status}`});
     }
     return ok({status: res.status, body});
--- a/packages/store/src/http_object_store.ts
+++ b/packages/store/src/http_object_store.ts
@@ -8,7 +8,7 @@
 
 const NOT_FOUND = 404;
 
-/** The object store over HTTP. */
+/** Accesses the platform's object store over HTTP. */
 export class HttpObjectStore extends ObjectStore {
   constructor(private readonly endpoint: PlatformEndpoint) {
     super();
@@ -18,7 +18,7 @@
     name: string,
     body: string,
   ): Promise<Result<void, PlatformError>> {
-    const res = await httpCall(this.endpoint, pathOf(name), {
+    const res = await httpCall(this.endpoint, objectPath(name), {
       method: 'PUT',
       body,
     });
@@ -28,7 +28,7 @@
   override async get(
     name: string,
   ): Promise<Result<string | undefined, PlatformError>> {
-    const res = await httpCall(this.endpoint, pathOf(name));
+    const res = await httpCall(this.endpoint, objectPath(name));
     if (!res.ok) return res;
     return ok(res.value.status === NOT_FOUND ? undefined : res.value.body);
   }
@@ -43,6 +43,6 @@
   }
 }
 
-function pathOf(name: string): string {
+function objectPath(name: string): string {
   return `/objects/${encodeURIComponent(name)}`;
 }
--- a/packages/store/src/http_table_service.ts
+++ b/packages/store/src/http_table_service.ts
@@ -10,7 +10,10 @@
 const NOT_FOUND = 404;
 const PRECONDITION_FAILED = 412;
 
-/** The table service over HTTP, with conditional writes by `If-Match`. */
+/**
+ * Accesses the platform's table service over HTTP. Writes are conditional on
+ * the row version in `If-Match`.
+ */
 export class HttpTableService extends TableService {
   constructor(private readonly endpoint: PlatformEndpoint) {
     super();
@@ -19,7 +22,7 @@
   override async read(
     key: string,
   ): Promise<Result<Row | undefined, PlatformError>> {
-    const res = await httpCall(this.endpoint, pathOf(key));
+    const res = await httpCall(this.endpoint, rowPath(key));
     if (!res.ok) return res;
     if (res.value.status === NOT_FOUND) return ok(undefined);
     return ok(ROW_SCHEMA.parse(JSON.parse(res.value.body)));
@@ -30,7 +33,7 @@
     value: string,
     expected: number,
   ): Promise<Result<Row, PlatformError>> {
-    const res = await httpCall(this.endpoint, pathOf(key), {
+    const res = await httpCall(this.endpoint, rowPath(key), {
       method: 'PUT',
       headers: {'if-match': String(expected)},
       body: value,
@@ -56,6 +59,6 @@
   }
 }
 
-function pathOf(key: string): string {
+function rowPath(key: string): string {
   return `/table/${encodeURIComponent(key)}`;
 }
--- a/packages/store/src/http_vm_list.ts
+++ b/packages/store/src/http_vm_list.ts
@@ -7,7 +7,7 @@
 import {VmList} from './vm_list.js';
 import type {ListedVm} from './vm_list.js';
 
-/** The list of VMs over HTTP. */
+/** Reads the platform's VM list over HTTP. */
 export class HttpVmList extends VmList {
   constructor(private readonly endpoint: PlatformEndpoint) {
     super();
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,4 @@
-/** The platform's table service, object store and VM list behind abstract classes. */
+/** Clients for the platform's table service, object store and VM list. */
 export type {PlatformEndpoint} from './http_call.js';
 export {HttpObjectStore} from './http_object_store.js';
 export {HttpTableService} from './http_table_service.js';
--- a/packages/store/src/platform_error.ts
+++ b/packages/store/src/platform_error.ts
@@ -1,8 +1,8 @@
 import type {Row} from './table_service.js';
 
-/** Why a call to the platform has no plain answer. */
+/** Why a call to the platform failed. */
 export type PlatformError =
-  /** The row had another version; `current` is the row as it is. */
+  /** The row had another version; `current` is the stored row. */
   | {readonly kind: 'conflict'; readonly current: Row | undefined}
   /** The request was not executed. */
   | {readonly kind: 'unavailable'; readonly detail: string}
--- a/packages/store/src/promotion/http_vm_reports.ts
+++ b/packages/store/src/promotion/http_vm_reports.ts
@@ -5,8 +5,9 @@
 import {VmReports} from './vm_reports.js';
 
 /**
- * Reads the applied versions from the VMs themselves. Rows written by the VMs
- * would cost a write for each VM and change, and none arrives in an outage.
+ * Reads the applied versions from the VMs over HTTP. The alternative, a status
+ * row per VM in the table service, would cost one write per VM and change, and
+ * no row could be written during an outage of the service.
  */
 export class HttpVmReports extends VmReports {
   constructor(
--- a/packages/store/src/promotion/promote_document.ts
+++ b/packages/store/src/promotion/promote_document.ts
@@ -19,7 +19,7 @@
 import type {Row, TableService} from '../table_service.js';
 import type {VmReports} from './vm_reports.js';
 
-/** What a promotion needs of the outside. */
+/** The collaborators of a promotion. */
 export interface PromotionTools {
   readonly table: TableService;
   readonly objects: ObjectStore;
@@ -28,19 +28,19 @@
   readonly delay: (ms: number) => Promise<unknown>;
 }
 
-/** Executes the steps of a promotion until its outcome is known. */
+/** Executes the steps of a promotion until it finishes, with its outcome. */
 export async function promoteDocument(
   body: string,
   req: PromotionRequest,
-  tools: PromotionTools,
+  deps: PromotionTools,
 ): Promise<PromotionOutcome> {
   let progress = startPromotion(req);
   for (;;) {
     const {state, step} = progress;
     if (step.kind === 'finish') return step.outcome;
-    if (step.delayMs > 0) await tools.delay(step.delayMs);
-    const event = await execute(step, state.version, body, req, tools);
-    progress = advancePromotion(state, event, tools.clock());
+    if (step.delayMs > 0) await deps.delay(step.delayMs);
+    const event = await execute(step, state.version, body, req, deps);
+    progress = advancePromotion(state, event, deps.clock());
   }
 }
 
@@ -56,9 +56,9 @@
     case 'check-trial':
       return checkTrial(req.hash, table, objects);
     case 'put-body':
-      return toStored(await objects.put(documentName(req.hash), body));
+      return toPutEvent(await objects.put(documentName(req.hash), body));
     case 'record-acceptance':
-      return toStored(
+      return toPutEvent(
         await objects.put(
           acceptanceName(req.environment, req.hash),
           req.operationId,
@@ -68,8 +68,8 @@
     case 'read-back': {
       const row = await table.read(key);
       return row.ok
-        ? {kind: 'row', current: decode(row.value)}
-        : toFailure(row.err);
+        ? {kind: 'row', current: decodeRow(row.value)}
+        : toFailureEvent(row.err);
     }
     case 'write-row': {
       const row = await table.write(
@@ -79,8 +79,8 @@
       );
       if (row.ok) return {kind: 'written', version: row.value.version};
       return row.err.kind === 'conflict'
-        ? {kind: 'conflict', current: decode(row.err.current)}
-        : toFailure(row.err);
+        ? {kind: 'conflict', current: decodeRow(row.err.current)}
+        : toFailureEvent(row.err);
     }
     case 'read-vms': {
       const reports = await vms.read(version);
@@ -91,37 +91,43 @@
   }
 }
 
-/** A document counts as tried while it is in force in trial, and after. */
+/**
+ * Checks whether the document is or was in force in trial. The acceptance
+ * record of an earlier trial remains after the document is replaced there.
+ */
 async function checkTrial(
   hash: string,
   table: TableService,
   objects: ObjectStore,
 ): Promise<PromotionEvent> {
   const row = await table.read(configurationKey('trial'));
-  if (!row.ok) return toFailure(row.err);
-  if (decode(row.value)?.hash === hash) {
+  if (!row.ok) return toFailureEvent(row.err);
+  if (decodeRow(row.value)?.hash === hash) {
     return {kind: 'acceptance', accepted: 'yes'};
   }
   const record = await objects.get(acceptanceName('trial', hash));
-  if (!record.ok) return toFailure(record.err);
+  if (!record.ok) return toFailureEvent(record.err);
   return {
     kind: 'acceptance',
     accepted: record.value === undefined ? 'no' : 'yes',
   };
 }
 
-function toStored(result: Result<void, PlatformError>): PromotionEvent {
-  return result.ok ? {kind: 'stored'} : toFailure(result.err);
+function toPutEvent(result: Result<void, PlatformError>): PromotionEvent {
+  return result.ok ? {kind: 'stored'} : toFailureEvent(result.err);
 }
 
-function toFailure(err: PlatformError): PromotionEvent {
+function toFailureEvent(err: PlatformError): PromotionEvent {
   const detail = err.kind === 'conflict' ? 'conflict' : err.detail;
   const effect = err.kind === 'unknown-outcome' ? 'unknown' : 'none';
   return {kind: 'failed', effect, detail};
 }
 
-/** A row that cannot be read keeps its version, so that it can be replaced. */
-function decode(row: Row | undefined): VersionedRow | undefined {
+/**
+ * Decodes the row. A malformed row is represented by an empty one with the
+ * same version, so that a conditional write can replace it.
+ */
+function decodeRow(row: Row | undefined): VersionedRow | undefined {
   if (!row) return undefined;
   return (
     decodeConfigurationRow(row.value, row.version) ?? {
--- a/packages/store/src/promotion/vm_reports.ts
+++ b/packages/store/src/promotion/vm_reports.ts
@@ -1,10 +1,10 @@
 import type {VmReport} from '@pistachiorill/core';
 
-/** Asks the VMs which configuration they have applied. */
+/** Reads which configuration version each VM has applied. */
 export abstract class VmReports {
   /**
-   * Reads how far the version has come. Undefined when the list of VMs could
-   * not be read.
+   * Reads the reports of all VMs while `version` is rolled out. Returns
+   * undefined if the VM list cannot be read.
    */
   abstract read(version: number): Promise<readonly VmReport[] | undefined>;
 }
--- a/packages/store/src/read_vm_statuses.ts
+++ b/packages/store/src/read_vm_statuses.ts
@@ -3,17 +3,20 @@
 import {VM_STATUS_SCHEMA} from './vm_status.js';
 import type {VmStatus} from './vm_status.js';
 
-/** What came of asking one listed VM for its status. */
+/** The result of a status request to one listed VM. */
 export type VmStatusAnswer = {readonly listed: ListedVm} & (
   | {readonly kind: 'status'; readonly status: VmStatus}
   | {readonly kind: 'unreachable'; readonly detail: string}
 );
 
 const OK = 200;
-/** Requests at a time, so that a fleet of hundreds is not asked at once. */
-const PARALLEL_REQUESTS = 32;
+/** Limits the burst of requests to a fleet of hundreds of VMs. */
+const MAX_PARALLEL_REQUESTS = 32;
 
-/** Asks each listed VM for its status; undefined without a list. */
+/**
+ * Requests the status of every listed VM, in the order of the list. Returns
+ * undefined if the list cannot be read.
+ */
 export async function readVmStatuses(
   list: VmList,
   timeoutMs: number,
@@ -21,17 +24,17 @@
   const vms = await list.read();
   if (!vms.ok) return undefined;
   const answers: VmStatusAnswer[] = [];
-  const waiting = [...vms.value.entries()];
+  const pending = [...vms.value.entries()];
   const worker = async (): Promise<void> => {
-    for (let item = waiting.shift(); item; item = waiting.shift()) {
-      answers[item[0]] = await readOne(item[1], timeoutMs);
+    for (let item = pending.shift(); item; item = pending.shift()) {
+      answers[item[0]] = await readVmStatus(item[1], timeoutMs);
     }
   };
-  await Promise.all(Array.from({length: PARALLEL_REQUESTS}, worker));
+  await Promise.all(Array.from({length: MAX_PARALLEL_REQUESTS}, worker));
   return answers;
 }
 
-async function readOne(
+async function readVmStatus(
   listed: ListedVm,
   timeoutMs: number,
 ): Promise<VmStatusAnswer> {
--- a/packages/store/src/transactional_store.ts
+++ b/packages/store/src/transactional_store.ts
@@ -1,59 +1,66 @@
 import type {Result} from '@pistachiorill/core';
 
-/** A row of a table whose version comes from one counter for all tables. */
+/** A row of a table. One counter for all tables assigns the versions. */
 export interface TableRow {
   readonly key: string;
   readonly value: string;
   readonly version: number;
 }
 
-/** Changes that are made together or not at all. */
+/** Changes that are applied atomically. */
 export interface RowTransaction {
-  /** Versions that the rows must have; 0 stands for no row. */
+  /** The version that each row must have, by key; 0 requires that it is absent. */
   readonly expected: ReadonlyMap<string, number>;
+  /** Values to write, by key. */
   readonly puts: ReadonlyMap<string, string>;
+  /** Keys of rows to remove. */
   readonly removals?: readonly string[];
 }
 
-/** When the store made an answer, and when it was asked for. */
+/** The times of a request and its response, by the clocks of both sides. */
 export interface StoreTiming {
-  /** The store's own steady clock. */
+  /** The store's monotonic clock when it produced the response. */
   readonly storeMs: number;
+  /** The client's clock when it sent the request. */
   readonly sentAt: number;
+  /** The client's clock when the response arrived. */
   readonly receivedAt: number;
 }
 
-/** What a table holds, or what changed in it. */
+/** The rows of a table, or the rows that changed after a version. */
 export interface TableAnswer extends StoreTiming {
   readonly rows: readonly TableRow[];
-  /** Keys of rows that were removed. */
+  /** Keys of removed rows. */
   readonly removed: readonly string[];
-  /** The newest version of the store. */
+  /** The newest version in the store. */
   readonly version: number;
 }
 
+/** The result of a committed transaction. */
 export interface TransactionAnswer extends StoreTiming {
+  /** The version that the transaction created. */
   readonly version: number;
 }
 
-/** Why a read has no answer. */
+/** Why a read returned no rows. */
 export type StoreReadError =
   | {readonly kind: 'unavailable'; readonly detail: string}
-  /** The changes since the version are no longer kept. */
+  /** The store no longer keeps the changes since the requested version. */
   | {readonly kind: 'history-lost'};
 
+/** Why a transaction is not known to be committed. */
 export type StoreWriteError =
-  /** A row had another version. */
+  /** A row did not have the expected version. */
   | {readonly kind: 'conflict'}
-  /** Nothing was done. */
+  /** The transaction was not executed. */
   | {readonly kind: 'unavailable'; readonly detail: string}
-  /** The change may have been made, or may still be made. */
+  /** The transaction may have been committed, or may still be. */
   | {readonly kind: 'unknown-outcome'; readonly detail: string};
 
-/** One table of a store with transactions and a feed of changes. */
+/** One table of a store that has transactions and a change feed. */
 export abstract class TransactionalStore {
   abstract readAll(): Promise<Result<TableAnswer, StoreReadError>>;
-  /** Waits up to `waitMs` for changes after a version. */
+  /** Waits up to `waitMs` for changes newer than `afterVersion`. */
   abstract changes(
     afterVersion: number,
     waitMs: number,
--- a/packages/tasks/src/index.ts
+++ b/packages/tasks/src/index.ts
@@ -1,4 +1,4 @@
-/** Tasks with a mailbox, and the pipeline that connects filters. */
+/** Tasks with a mailbox, and pipelines of filters. */
 export {Pipeline} from './pipeline.js';
 export type {Clock} from './pipeline.js';
 export {ask} from './reply.js';
--- a/packages/tasks/src/pipeline.ts
+++ b/packages/tasks/src/pipeline.ts
@@ -1,12 +1,12 @@
 import {ok} from '@pistachiorill/core';
 import type {Filter, Result} from '@pistachiorill/core';
 
-/** Returns the present time in milliseconds of a monotonic clock. */
+/** Returns the current time of a monotonic clock, in milliseconds. */
 export type Clock = () => number;
 
 /**
- * A chain of filters. The first error ends the run. The clock is read anew
- * before each filter, since an earlier one may have waited.
+ * A chain of filters. The first error ends the run. The clock is read again
+ * before each filter, because an earlier filter may have waited.
  */
 export class Pipeline<I, O, E> {
   private constructor(
@@ -14,7 +14,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Starts a chain with its first filter. */
+  /** Creates a pipeline with a single filter. */
   static of<I, O, E>(filter: Filter<I, O, E>, clock: Clock): Pipeline<I, O, E> {
     return new Pipeline<I, O, E>(
       [filter as Filter<unknown, unknown, E>],
@@ -22,7 +22,7 @@
     );
   }
 
-  /** Adds a filter that takes what the chain has produced so far. */
+  /** Appends a filter that consumes the output of the last one. */
   then<P>(filter: Filter<O, P, E>): Pipeline<I, P, E> {
     return new Pipeline<I, P, E>(
       [...this.filters, filter as Filter<unknown, unknown, E>],
@@ -30,7 +30,7 @@
     );
   }
 
-  /** Passes one message through the chain. */
+  /** Passes one message through all filters, in order. */
   async run(input: I): Promise<Result<O, E>> {
     let value: unknown = input;
     for (const filter of this.filters) {
--- a/packages/tasks/src/sleep.ts
+++ b/packages/tasks/src/sleep.ts
@@ -1,4 +1,4 @@
-/** Waits without blocking. */
+/** Resolves after `ms` milliseconds. */
 export function sleep(ms: number): Promise<undefined> {
   return new Promise(resolve => {
     setTimeout(resolve, ms, undefined);
--- a/packages/tasks/src/task.ts
+++ b/packages/tasks/src/task.ts
@@ -2,34 +2,40 @@
 
 /**
  * A unit of concurrency that owns its state and sockets. Messages are handled
- * one at a time in the order of arrival, so the state needs no lock and no
- * other task touches it.
+ * one at a time in the order of arrival, and no other task accesses the state,
+ * so it needs no lock.
  */
 export abstract class Task<M> {
   private readonly mailbox = new PQueue({concurrency: 1});
   private stopped = false;
 
-  /** Sends a message and does not wait until it is handled. */
+  /**
+   * Enqueues a message without waiting until it is handled. A stopped task
+   * discards it.
+   */
   tell(message: M): void {
     if (this.stopped) return;
     void this.mailbox.add(() => this.handleSafely(message));
   }
 
-  /** The number of messages that wait. */
+  /** Number of messages in the mailbox. */
   get backlog(): number {
     return this.mailbox.size;
   }
 
-  /** Handles the messages that wait, then takes no more. */
+  /** Rejects new messages and waits until the queued ones are handled. */
   async stop(): Promise<void> {
     this.stopped = true;
     await this.mailbox.onIdle();
   }
 
-  /** Handles one message. Must not wait for another message of this task. */
+  /**
+   * Handles one message. Waiting here for another message of the same task
+   * deadlocks, because the task handles one message at a time.
+   */
   protected abstract handle(message: M): void | Promise<void>;
 
-  /** Called with an exception of `handle`; the task goes on afterwards. */
+  /** Called when `handle` throws; the task continues with the next message. */
   protected abstract onFailure(err: unknown): void;
 
   private async handleSafely(message: M): Promise<void> {
