--- a/packages/document/src/__tests__/check_document.test.ts
+++ b/packages/document/src/__tests__/check_document.test.ts
@@ -22,21 +22,21 @@
 }
 
 describe('checkDocument', () => {
-  // Guards against a faulty document that is accepted, and against a report
-  // that stops at the first fault or shows a secret.
+  // Guards against an invalid document that is accepted, and against a report
+  // that stops at the first error or shows a secret.
   it.each(['small', 'bad_syntax', 'bad_values', 'bad_references', 'warnings'])(
-    'reports every fault of %s',
+    'reports every error of %s',
     name => {
       expect(check(fixture(name))).toMatchSnapshot();
     },
   );
 
-  // Guards against an empty file that withdraws every key and database.
-  it('refuses an empty document', () => {
+  // Guards against an empty file that removes every key and database.
+  it('rejects an empty document', () => {
     expect(check('')).toMatchSnapshot();
   });
 
-  // Guards against examples that the program itself would refuse.
+  // Guards against documented examples that the program rejects.
   it.each(['authority', 'leafmark'])('accepts the example of %s', name => {
     const url = new URL(
       `../../../../docs/examples/${name}.ini`,
@@ -50,14 +50,14 @@
 });
 
 describe('parseDocument', () => {
-  // Guards against values that reach the daemon in another form.
+  // Guards against values that are converted incorrectly for the daemon.
   it('builds the configuration of an environment', () => {
     expect(parseDocument(fixture('small'), 'production')).toMatchSnapshot();
   });
 
-  // Guards against an earlier key that keeps working after its verifier was
+  // Guards against a previous key that remains valid after its verifier was
   // replaced under the same name.
-  it('gives a replaced verifier another id', () => {
+  it('changes the grant id with the verifier', () => {
     const ids = ['small', 'changed'].map(name => {
       const parsed = parseDocument(fixture(name), 'trial');
       return parsed.ok && parsed.value.workspaces[0]?.keys[0]?.id;
@@ -67,8 +67,8 @@
 });
 
 describe('compareDocuments', () => {
-  // Guards against a change that an operator promotes without seeing it, and
-  // against a verifier that is printed.
+  // Guards against a change that is not shown to the operator before the
+  // promotion, and against a verifier that is printed.
   it('lists the changes with their reasons', () => {
     const [before, after] = ['small', 'changed'].map(
       name => checkDocument(fixture(name), []).sections,
--- a/packages/document/src/check_document.ts
+++ b/packages/document/src/check_document.ts
@@ -6,14 +6,14 @@
 import {documentWarnings} from './document_warnings.js';
 import {referenceErrors} from './reference_rules.js';
 
-/** Everything that a check of a document found, in the order of the lines. */
+/** The result of checking a document, with errors in line order. */
 export interface DocumentCheck {
   readonly sections: DocumentSections;
   readonly errors: readonly DocumentError[];
   readonly warnings: readonly DocumentError[];
 }
 
-/** Checks a document for the given environments and reports all faults. */
+/** Checks a document for the given environments and returns all errors. */
 export function checkDocument(
   text: string,
   environments: readonly Environment[],
@@ -27,7 +27,7 @@
   return {
     sections: read.sections,
     errors: errors.sort(byLine),
-    // With errors, sections are missing and warnings would mislead.
+    // Sections with errors are left out, which would cause false warnings.
     warnings:
       errors.length > 0 ? [] : documentWarnings(read.sections).sort(byLine),
   };
--- a/packages/document/src/compare_documents.ts
+++ b/packages/document/src/compare_documents.ts
@@ -1,7 +1,7 @@
 import type {DocumentSection, DocumentSections} from './document_sections.js';
 import type {SectionKind} from './section_schemas.js';
 
-/** One difference between two documents, as operators and the audit see it. */
+/** A difference between two documents, as shown to operators and audited. */
 export type DocumentChange =
   | {
       readonly kind: 'section-added' | 'section-removed';
@@ -19,13 +19,13 @@
       readonly reason: string | undefined;
     };
 
-/** Values that are not shown, as tokens are signed with them. */
+/** Keys whose values are not shown, because they sign session tokens. */
 const SECRET_KEYS = new Set(['verifier']);
 
 /**
- * Lists what changes from one document to the next, by the values in force:
- * stating a default is no change. The reason is that of the section, or of the
- * document when the section states none or is removed.
+ * Lists the changes between two documents. Values are compared with defaults
+ * filled in, so writing out a default is no change. The reason is that of the
+ * section, or of the document if the section has none or is removed.
  */
 export function compareDocuments(
   before: DocumentSections,
@@ -54,23 +54,25 @@
   after: readonly AnySection[],
   fallback: string | undefined,
 ): DocumentChange[] {
-  const known = new Map(before.map(section => [section.name, section]));
-  const kept = new Set(after.map(section => section.name));
+  const previousByName = new Map(
+    before.map(section => [section.name, section]),
+  );
+  const remainingNames = new Set(after.map(section => section.name));
   return [
     ...before
-      .filter(section => !kept.has(section.name))
-      .map(section => whole('section-removed', section, fallback)),
+      .filter(section => !remainingNames.has(section.name))
+      .map(section => sectionChange('section-removed', section, fallback)),
     ...after.flatMap(section => {
       const reason = section.values.reason ?? fallback;
-      const earlier = known.get(section.name);
-      return earlier
-        ? compareSection(earlier, section, reason)
-        : [whole('section-added', section, reason)];
+      const previous = previousByName.get(section.name);
+      return previous
+        ? compareSection(previous, section, reason)
+        : [sectionChange('section-added', section, reason)];
     }),
   ];
 }
 
-function whole(
+function sectionChange(
   kind: 'section-added' | 'section-removed',
   section: AnySection,
   reason: string | undefined,
@@ -83,17 +85,20 @@
   after: AnySection,
   reason: string | undefined,
 ): DocumentChange[] {
-  const old = before.values as Readonly<Record<string, unknown>>;
-  const now = after.values as Readonly<Record<string, unknown>>;
-  return [...new Set([...Object.keys(old), ...Object.keys(now)])]
-    .filter(key => key !== 'reason' && format(old[key]) !== format(now[key]))
+  const oldValues = before.values as Readonly<Record<string, unknown>>;
+  const newValues = after.values as Readonly<Record<string, unknown>>;
+  return [...new Set([...Object.keys(oldValues), ...Object.keys(newValues)])]
+    .filter(
+      key =>
+        key !== 'reason' && format(oldValues[key]) !== format(newValues[key]),
+    )
     .map(key => ({
       kind: 'value-changed',
       section: after.kind,
       name: after.name,
       key,
-      before: SECRET_KEYS.has(key) ? '(not shown)' : format(old[key]),
-      after: SECRET_KEYS.has(key) ? '(not shown)' : format(now[key]),
+      before: SECRET_KEYS.has(key) ? '(not shown)' : format(oldValues[key]),
+      after: SECRET_KEYS.has(key) ? '(not shown)' : format(newValues[key]),
       reason,
     }));
 }
--- a/packages/document/src/conflict_rules.ts
+++ b/packages/document/src/conflict_rules.ts
@@ -5,7 +5,7 @@
 
 type Sections = ReadSections['sections'];
 
-/** Finds values that are valid alone and contradict each other. */
+/** Finds values that are valid individually but conflict with each other. */
 export function conflictErrors(
   read: ReadSections,
   environments: readonly Environment[],
@@ -22,7 +22,10 @@
   ];
 }
 
-/** An empty document would withdraw everything by mistake. */
+/**
+ * Requires the basic sections, so that an empty document is not promoted by
+ * mistake, which would remove everything.
+ */
 function missingSections(read: ReadSections): DocumentError[] {
   const required = ['data_centre', 'backend_server', 'database'] as const;
   const titles = [...read.titles];
@@ -42,19 +45,19 @@
   environment: Environment,
 ): DocumentError[] {
   const key = `address.${environment}` as const;
-  const owners = new Map<string, string>();
+  const serversByAddress = new Map<string, string>();
   return sections.backend_server.flatMap(server => {
     const address = server.values[key];
     if (address === undefined) {
       const detail = `the key is missing; expected host:port for ${environment}`;
       return [errorAt(server, key, 'missing-key', detail)];
     }
-    const owner = owners.get(address);
-    if (owner === undefined) {
-      owners.set(address, server.name);
+    const otherServer = serversByAddress.get(address);
+    if (otherServer === undefined) {
+      serversByAddress.set(address, server.name);
       return [];
     }
-    const detail = `backend server ${owner} has the same address`;
+    const detail = `backend server ${otherServer} has the same address`;
     return [errorAt(server, key, 'conflict', detail)];
   });
 }
@@ -72,23 +75,29 @@
     );
 }
 
-/** A backend server that replicates two groups cannot be fenced for one. */
+/**
+ * Finds backend servers that are members of two databases: such a server could
+ * not be fenced for one of its groups only.
+ */
 function memberErrors(sections: Sections): DocumentError[] {
-  const owners = new Map<string, string>();
+  const databasesByMember = new Map<string, string>();
   return sections.database.flatMap(database =>
     database.values.members.flatMap(name => {
-      const owner = owners.get(name);
-      if (owner === undefined) {
-        owners.set(name, database.name);
+      const otherDatabase = databasesByMember.get(name);
+      if (otherDatabase === undefined) {
+        databasesByMember.set(name, database.name);
         return [];
       }
-      const detail = `backend server ${name} is already a member of database ${owner}`;
+      const detail = `backend server ${name} is already a member of database ${otherDatabase}`;
       return [errorAt(database, 'members', 'conflict', detail)];
     }),
   );
 }
 
-/** A name given by a caller must mean either a service or a database. */
+/**
+ * Finds databases that have the name of another database's service: a name that
+ * a caller gives must identify either a service or a database.
+ */
 function serviceNameErrors(sections: Sections): DocumentError[] {
   return sections.database
     .filter(database =>
@@ -106,16 +115,19 @@
     );
 }
 
-/** Withdrawing one of two equal keys would not withdraw the key. */
+/**
+ * Finds keys with the same verifier: after the revocation of one of them, the
+ * other would still accept the same secret.
+ */
 function verifierErrors(sections: Sections): DocumentError[] {
-  const owners = new Map<string, DocumentSection<'key'>>();
+  const keysByVerifier = new Map<string, DocumentSection<'key'>>();
   return sections.key.flatMap(key => {
-    const owner = owners.get(key.values.verifier);
-    if (!owner) {
-      owners.set(key.values.verifier, key);
+    const otherKey = keysByVerifier.get(key.values.verifier);
+    if (!otherKey) {
+      keysByVerifier.set(key.values.verifier, key);
       return [];
     }
-    const detail = `[key ${owner.name}] has the same verifier`;
+    const detail = `[key ${otherKey.name}] has the same verifier`;
     return [errorAt(key, 'verifier', 'conflict', detail)];
   });
 }
--- a/packages/document/src/document_error.ts
+++ b/packages/document/src/document_error.ts
@@ -1,3 +1,4 @@
+/** The kinds of error in a document or settings file. */
 export type DocumentErrorKind =
   | 'syntax'
   | 'unknown-section'
@@ -11,14 +12,16 @@
   | 'unknown-reference'
   | 'conflict';
 
-/** One fault of a document or settings file. */
+/** An error in a document or settings file. */
 export interface DocumentError {
   readonly kind: DocumentErrorKind;
-  /** Line in the file, counted from 1, if the fault has a place. */
+  /** Line number from 1; undefined for an error of the whole file. */
   readonly line: number | undefined;
+  /** Title of the section, or an empty string. */
   readonly section: string;
+  /** The key in the section, or an empty string. */
   readonly key: string;
-  /** What is accepted. Never holds the value of a secret. */
+  /** What is wrong or what is accepted. Never contains a secret value. */
   readonly detail: string;
 }
 
--- a/packages/document/src/document_sections.ts
+++ b/packages/document/src/document_sections.ts
@@ -5,32 +5,36 @@
 import {SECTION_SCHEMAS} from './section_schemas.js';
 import type {SectionKind, SectionValues} from './section_schemas.js';
 
-/** One validated section and the place where it stands. */
+/** A validated section. */
 export interface DocumentSection<K extends SectionKind> {
   readonly kind: K;
   readonly name: string;
   readonly values: SectionValues<K>;
+  /** The section as read from the file, with line numbers. */
   readonly source: IniSection;
 }
 
-/** The sections of a document by kind, in the order of the file. */
+/** The sections of a document by kind, in file order. */
 export type DocumentSections = {
   readonly [K in SectionKind]: Array<DocumentSection<K>>;
 };
 
-/** The result of reading a file; sections with errors are left out. */
+/** The result of parsing a file. Sections with errors are left out. */
 export interface ReadSections {
   readonly sections: DocumentSections;
-  /** All titles that occur, also those of sections with errors. */
+  /** The titles of all sections, including those with errors. */
   readonly titles: ReadonlySet<string>;
   readonly errors: readonly DocumentError[];
 }
 
-/** A MySQL user name, which a workspace name is, has at most 32 characters. */
-const MAX_WORKSPACE_NAME = 32;
+/**
+ * Clients log in with the workspace name as MySQL user name, which has at most
+ * 32 characters.
+ */
+const MAX_WORKSPACE_NAME_LENGTH = 32;
 const NAME_PATTERN = /^[a-z0-9][a-z0-9_-]{0,63}$/;
 
-/** Reads a document's sections and checks each of them on its own. */
+/** Parses the sections of a document and validates each one separately. */
 export function readDocumentSections(text: string): ReadSections {
   const sections: DocumentSections = {
     document: [],
@@ -84,7 +88,7 @@
 }
 
 function nameErrors(kind: SectionKind, source: IniSection): DocumentError[] {
-  const detail = nameFault(kind, source.name);
+  const detail = invalidNameDetail(kind, source.name);
   if (detail === undefined) return [];
   return [
     {
@@ -97,7 +101,10 @@
   ];
 }
 
-function nameFault(kind: SectionKind, name: string): string | undefined {
+function invalidNameDetail(
+  kind: SectionKind,
+  name: string,
+): string | undefined {
   if (kind === 'document') {
     return name === '' ? undefined : 'expected [document] without a name';
   }
@@ -105,8 +112,8 @@
   if (!NAME_PATTERN.test(name)) {
     return 'expected a name of lower-case letters, digits, - and _, at most 64';
   }
-  if (kind === 'workspace' && name.length > MAX_WORKSPACE_NAME) {
-    return `expected at most ${MAX_WORKSPACE_NAME} characters, as it is a MySQL user name`;
+  if (kind === 'workspace' && name.length > MAX_WORKSPACE_NAME_LENGTH) {
+    return `expected at most ${MAX_WORKSPACE_NAME_LENGTH} characters, as it is a MySQL user name`;
   }
   if (kind === 'route' && name === 'default') {
     return 'the name default is reserved for statements without a route';
--- a/packages/document/src/document_warnings.ts
+++ b/packages/document/src/document_warnings.ts
@@ -2,9 +2,9 @@
 import type {DocumentSections} from './document_sections.js';
 import {errorAt} from './reference_rules.js';
 
-const USUAL_MEMBERS = 3;
+const RECOMMENDED_MEMBERS = 3;
 
-/** Finds values that are accepted and are probably not meant. */
+/** Finds values that are valid but probably unintended. */
 export function documentWarnings(sections: DocumentSections): DocumentError[] {
   return [
     ...memberWarnings(sections),
@@ -22,24 +22,24 @@
   return sections.database.flatMap(database => {
     const {members} = database.values;
     const details: string[] = [];
-    if (members.length < USUAL_MEMBERS) {
+    if (members.length < RECOMMENDED_MEMBERS) {
       details.push('fewer than 3 members: one failure stops writes');
     } else if (members.length % 2 === 0) {
       details.push(
         'an even number of members tolerates no more failures than one fewer',
       );
     }
-    const centres = members.flatMap(m => servers.get(m)?.data_centre ?? []);
-    if (members.length > 1 && new Set(centres).size === 1) {
+    const dataCentres = members.flatMap(m => servers.get(m)?.data_centre ?? []);
+    if (members.length > 1 && new Set(dataCentres).size === 1) {
       details.push('all members are in one data centre');
     }
-    const serving = members.filter(name => {
+    const inService = members.filter(name => {
       const server = servers.get(name);
       return server?.state === 'in-service' && !out.has(server.data_centre);
     });
-    if (serving.length === 0) {
+    if (inService.length === 0) {
       details.push('no member is in service, so no statement is executed');
-    } else if (serving.length <= members.length / 2) {
+    } else if (inService.length <= members.length / 2) {
       details.push('less than a majority of the members is in service');
     }
     return details.map(detail =>
@@ -48,10 +48,13 @@
   });
 }
 
-/** The formula of the connection allowance with one owner a data centre. */
+/**
+ * Compares the connections of each backend server with the formula of the
+ * connection allowance, assuming one owner VM per data centre.
+ */
 function connectionWarnings(sections: DocumentSections): DocumentError[] {
-  const owners = Math.max(1, sections.data_centre.length);
-  const needed = 2 * owners + 1;
+  const ownerVms = Math.max(1, sections.data_centre.length);
+  const needed = 2 * ownerVms + 1;
   return sections.backend_server
     .filter(server => server.values.connections < needed)
     .map(server =>
@@ -65,9 +68,9 @@
 }
 
 function workspaceWarnings(sections: DocumentSections): DocumentError[] {
-  const keyed = new Set(sections.key.map(key => key.values.workspace));
+  const withKey = new Set(sections.key.map(key => key.values.workspace));
   return sections.workspace
-    .filter(workspace => !keyed.has(workspace.name))
+    .filter(workspace => !withKey.has(workspace.name))
     .map(workspace =>
       errorAt(workspace, '', 'missing-key', 'the workspace has no key'),
     );
--- a/packages/document/src/format_change.ts
+++ b/packages/document/src/format_change.ts
@@ -1,6 +1,6 @@
 import type {DocumentChange} from './compare_documents.js';
 
-/** Formats one change on a line for operators. */
+/** Formats a change as one line for operators. */
 export function formatChange(change: DocumentChange): string {
   const title = `[${`${change.section} ${change.name}`.trim()}]`;
   const reason = change.reason === undefined ? '' : ` (${change.reason})`;
--- a/packages/document/src/index.ts
+++ b/packages/document/src/index.ts
@@ -1,4 +1,4 @@
-/** Process settings and the operators' document: INI parsing and validation. */
+/** Parses and validates process settings and the operators' document (INI). */
 export {checkDocument} from './check_document.js';
 export type {DocumentCheck} from './check_document.js';
 export {compareDocuments} from './compare_documents.js';
--- a/packages/document/src/ini_sections.ts
+++ b/packages/document/src/ini_sections.ts
@@ -1,14 +1,14 @@
 import {parse} from 'ini';
 import type {DocumentError} from './document_error.js';
 
-/** One `key = value` line of a file. */
+/** A `key = value` line of a file. */
 export interface IniEntry {
   readonly key: string;
   readonly value: string;
   readonly line: number;
 }
 
-/** One `[kind name]` section of a file, with the lines of its keys. */
+/** A `[kind name]` section of a file. */
 export interface IniSection {
   readonly kind: string;
   readonly name: string;
@@ -16,7 +16,7 @@
   readonly entries: readonly IniEntry[];
 }
 
-/** The sections of a file and the faults of its syntax. */
+/** The sections of a file and its syntax errors. */
 export interface IniFile {
   readonly sections: readonly IniSection[];
   readonly errors: readonly DocumentError[];
@@ -25,26 +25,26 @@
 const HEADER = /^\[([^\]]*)\]\s*(?:[;#].*)?$/;
 const ENTRY = /^([^=]+?)\s*=\s*(.*)$/;
 
-/** The title of a section as it stands between the brackets. */
+/** Returns the title of a section, as written between the brackets. */
 export function titleOf(section: Pick<IniSection, 'kind' | 'name'>): string {
   return `${section.kind} ${section.name}`.trim();
 }
 
-/** The values of a section by key. */
+/** Returns the values of a section by key. */
 export function valuesOf(section: IniSection): Record<string, string> {
   return Object.fromEntries(section.entries.map(e => [e.key, e.value]));
 }
 
-/** Finds the line of a key, or of its section when the key is absent. */
+/** Returns the line of a key, or of its section if the key is absent. */
 export function lineOf(section: IniSection, key: string): number {
   return section.entries.find(e => e.key === key)?.line ?? section.line;
 }
 
 /**
- * Reads the sections of an INI file in their order. The `ini` library merges
- * repeated sections and keys and gives no line numbers, so the lines are read
- * here and the library decodes only the values. A repeated section or key is
- * an error, because only one of the two values could be in force.
+ * Parses the sections of an INI file in file order. The `ini` library merges
+ * repeated sections and keys and provides no line numbers, so this module
+ * parses the lines and uses the library only to decode values. A repeated
+ * section or key is an error, because only one of its values could apply.
  */
 export function readIniSections(text: string): IniFile {
   const reader = new IniReader();
@@ -57,7 +57,7 @@
   return reader;
 }
 
-/** Collects sections and faults line by line. */
+/** Collects sections and syntax errors line by line. */
 class IniReader implements IniFile {
   readonly sections: Array<IniSection & {readonly entries: IniEntry[]}> = [];
   readonly errors: DocumentError[] = [];
@@ -122,12 +122,12 @@
   }
 }
 
-/** Values without quotes, escapes, comments or brackets stand for themselves. */
+/** Values without quotes, escapes, comments or brackets need no decoding. */
 const PLAIN_VALUE = /^[^"'\\;#[\]]+$/;
 
-/** Removes quotes, escapes and a trailing comment, as the library does. */
+/** Decodes quotes and escapes and removes a trailing comment. */
 function decode(text: string): string {
   if (PLAIN_VALUE.test(text)) return text.trim();
-  // The library turns `true` and `false` into booleans.
+  // The library returns booleans for `true` and `false`.
   return String(parse(`value = ${text}`)['value'] ?? '');
 }
--- a/packages/document/src/parse_document.ts
+++ b/packages/document/src/parse_document.ts
@@ -10,9 +10,9 @@
 import type {DocumentError} from './document_error.js';
 import type {DocumentSection, DocumentSections} from './document_sections.js';
 
-const GRANT_DIGITS = 8;
+const GRANT_ID_HEX_DIGITS = 8;
 
-/** Reads and validates an operators' document for one environment. */
+/** Parses and validates an operators' document for one environment. */
 export function parseDocument(
   text: string,
   environment: Environment,
@@ -68,13 +68,13 @@
 }
 
 /**
- * The id of a grant changes with its verifier. Connections remember the id, so
- * replacing the verifier under the same name withdraws the earlier key.
+ * Derives the id of a grant from its name and verifier. Connections store the
+ * id, so replacing the verifier under the same name revokes the previous key.
  */
 function toGrant({name, values}: DocumentSection<'key'>): KeyGrant {
   const digest = createHash('sha256').update(values.verifier).digest('hex');
   return {
-    id: `${name}-${digest.slice(0, GRANT_DIGITS)}`,
+    id: `${name}-${digest.slice(0, GRANT_ID_HEX_DIGITS)}`,
     verifier: values.verifier,
   };
 }
--- a/packages/document/src/process_settings.ts
+++ b/packages/document/src/process_settings.ts
@@ -17,7 +17,7 @@
     'expected a name of lower-case letters, digits, - and _',
   );
 
-function whole(max: number) {
+function wholeNumber(max: number) {
   const detail = `expected a whole number from 1 to ${max}`;
   return z
     .string(detail)
@@ -44,23 +44,23 @@
       protocol: /^https?$/,
       error: 'expected a URL such as http://10.0.0.1:7000',
     }),
-    timeout_ms: whole(MAX_MS).prefault('500'),
+    timeout_ms: wholeNumber(MAX_MS).prefault('500'),
   }),
   backend: z.strictObject({
     user: TEXT,
     password: z.string('expected a text'),
     control_user: TEXT,
     control_password: z.string('expected a text'),
-    /** Local address for connections to backend servers. */
+    /** Source address of connections to backend servers. */
     local_address: z
       .union([z.ipv4(), z.ipv6()], 'expected an IP number')
       .optional(),
   }),
   limits: z
     .strictObject({
-      statement_bytes: whole(MAX_STATEMENT_BYTES).prefault('1048576'),
-      transaction_idle_ms: whole(MAX_MS).prefault('30000'),
-      grace_ms: whole(MAX_MS).prefault('20000'),
+      statement_bytes: wholeNumber(MAX_STATEMENT_BYTES).prefault('1048576'),
+      transaction_idle_ms: wholeNumber(MAX_MS).prefault('30000'),
+      grace_ms: wholeNumber(MAX_MS).prefault('20000'),
     })
     .prefault({}),
   routing: z
@@ -70,7 +70,7 @@
         .default('owners'),
     })
     .prefault({}),
-  // Baselines for experiments; operators leave the defaults.
+  // Baseline policies for experiments; in operation, the defaults apply.
   policy: z
     .strictObject({
       reads: z.enum(['replica-first', 'primary-only']).default('replica-first'),
@@ -98,7 +98,7 @@
 
 type SettingsSection = keyof typeof SECTIONS;
 
-/** Reads and validates the settings file of a process; reports all faults. */
+/** Parses and validates the settings file of a process; returns all errors. */
 export function parseProcessSettings(
   text: string,
 ): Result<ProcessSettings, readonly DocumentError[]> {
@@ -107,7 +107,7 @@
     ...file.errors,
     ...file.sections.flatMap(sectionErrors),
     ...missingSections(file.sections),
-    ...portErrors(file.sections),
+    ...addressConflicts(file.sections),
   ];
   if (errors.length > 0) {
     return fail(errors.sort((a, b) => (a.line ?? 0) - (b.line ?? 0)));
@@ -151,8 +151,8 @@
     }));
 }
 
-/** Two listening sockets cannot share one address. */
-function portErrors(sections: readonly IniSection[]): DocumentError[] {
+/** Finds duplicate addresses, as two listening sockets cannot share one. */
+function addressConflicts(sections: readonly IniSection[]): DocumentError[] {
   const listen = sections.find(section => section.kind === 'listen');
   if (!listen) return [];
   return listen.entries.flatMap((entry, index) => {
--- a/packages/document/src/reference_rules.ts
+++ b/packages/document/src/reference_rules.ts
@@ -5,7 +5,7 @@
 
 type AnySection = DocumentSection<SectionKind>;
 
-/** Creates the error of a key in a section. */
+/** Creates an error at a key of a section. */
 export function errorAt(
   section: AnySection,
   key: string,
@@ -17,11 +17,11 @@
   return {kind, line, section: titleOf(source), key, detail};
 }
 
-/** Finds references to sections that the document does not have. */
+/** Finds references to names that the document does not define. */
 export function referenceErrors(read: ReadSections): DocumentError[] {
   const {sections, titles} = read;
   const services = new Set(sections.database.map(d => d.values.service));
-  const check = (
+  const checkReference = (
     section: AnySection,
     key: string,
     kind: SectionKind,
@@ -39,15 +39,20 @@
         ];
   return [
     ...sections.backend_server.flatMap(server =>
-      check(server, 'data_centre', 'data_centre', server.values.data_centre),
+      checkReference(
+        server,
+        'data_centre',
+        'data_centre',
+        server.values.data_centre,
+      ),
     ),
     ...sections.database.flatMap(database =>
       database.values.members.flatMap(name =>
-        check(database, 'members', 'backend_server', name),
+        checkReference(database, 'members', 'backend_server', name),
       ),
     ),
     ...sections.key.flatMap(key =>
-      check(key, 'workspace', 'workspace', key.values.workspace),
+      checkReference(key, 'workspace', 'workspace', key.values.workspace),
     ),
     ...sections.workspace.flatMap(workspace =>
       workspace.values.services
--- a/packages/document/src/schema_errors.ts
+++ b/packages/document/src/schema_errors.ts
@@ -3,22 +3,22 @@
 import {lineOf, titleOf} from './ini_sections.js';
 import type {IniSection} from './ini_sections.js';
 
-/** Converts the issues of one section and names what is accepted. */
+/** Converts the Zod issues of one section to errors that state valid input. */
 export function schemaErrors(
   section: IniSection,
   issues: readonly z.core.$ZodIssue[],
   knownKeys: readonly string[],
 ): DocumentError[] {
-  const reported = new Set<string>();
+  const reportedKeys = new Set<string>();
   return issues.flatMap(issue => {
     const keys =
       issue.code === 'unrecognized_keys'
         ? issue.keys
         : [String(issue.path[0] ?? '')];
-    // One value may break several rules; the first says enough.
-    const fresh = keys.filter(key => !reported.has(key));
-    return fresh.map(key => {
-      reported.add(key);
+    // A value may violate several rules; only the first is reported.
+    const unreported = keys.filter(key => !reportedKeys.has(key));
+    return unreported.map(key => {
+      reportedKeys.add(key);
       const stated = section.entries.some(entry => entry.key === key);
       return {
         kind: kindOf(issue, stated),
--- a/packages/document/src/section_schemas.ts
+++ b/packages/document/src/section_schemas.ts
@@ -23,8 +23,11 @@
     'expected each name once',
   );
 
-/** Whole numbers only: the library would also take `0x10`, `1e3` and ''. */
-function whole(min: number, max: number) {
+/**
+ * Creates a schema for decimal whole numbers. A pattern checks the text, as
+ * `Number` would also accept `0x10`, `1e3` and an empty text.
+ */
+function wholeNumber(min: number, max: number) {
   const detail = `expected a whole number from ${min} to ${max}`;
   return z
     .string(detail)
@@ -40,11 +43,11 @@
   .transform(Number)
   .refine(value => value > 0 && value <= MAX_RATE, RATE_DETAIL);
 
-const FLAG = z
+const BOOLEAN = z
   .enum(['true', 'false'], 'expected true or false')
   .transform(text => text === 'true');
 
-/** An address of a listening socket. */
+/** The address of a listening socket, as `host:port`. */
 export const ADDRESS = z
   .string('expected host:port')
   .regex(/^[A-Za-z0-9.[\]:_-]+:\d{1,5}$/, 'expected host:port')
@@ -63,7 +66,7 @@
   return z.enum(values, `expected ${values.join(' or ')}`);
 }
 
-/** The keys that each kind of section accepts. */
+/** The schema of each kind of section. Keys that are not listed are errors. */
 export const SECTION_SCHEMAS = {
   document: z.strictObject({
     when_unconfirmed: oneOf(['refuse', 'serve']).default('refuse'),
@@ -79,8 +82,8 @@
     'address.trial': ADDRESS.optional(),
     'address.production': ADDRESS.optional(),
     state: oneOf(['in-service', 'leaving']).default('in-service'),
-    connections: whole(1, MAX_CONNECTIONS),
-    slots: whole(1, MAX_CONNECTIONS),
+    connections: wholeNumber(1, MAX_CONNECTIONS),
+    slots: wholeNumber(1, MAX_CONNECTIONS),
     reason: REASON,
   }),
   database: z.strictObject({
@@ -90,7 +93,7 @@
   }),
   workspace: z.strictObject({
     rate: RATE,
-    burst: whole(1, MAX_RATE),
+    burst: wholeNumber(1, MAX_RATE),
     services: NAME_LIST,
     reason: REASON,
   }),
@@ -103,16 +106,18 @@
   }),
   route: z.strictObject({
     access: oneOf(['read', 'write']),
-    repeatable: FLAG.default(false),
+    repeatable: BOOLEAN.default(false),
     audience: oneOf(['keyed', 'open']).default('keyed'),
-    max_age_ms: whole(0, MAX_AGE_MS).default(0),
-    deadline_ms: whole(1, MAX_DEADLINE_MS).default(5_000),
+    max_age_ms: wholeNumber(0, MAX_AGE_MS).default(0),
+    deadline_ms: wholeNumber(1, MAX_DEADLINE_MS).default(5_000),
     acknowledge: oneOf(['majority', 'primary']).default('majority'),
     reason: REASON,
   }),
 } as const;
 
+/** The kinds of section in a document. */
 export type SectionKind = keyof typeof SECTION_SCHEMAS;
+/** The validated values of a section of kind `K`, with defaults. */
 export type SectionValues<K extends SectionKind> = z.infer<
   (typeof SECTION_SCHEMAS)[K]
 >;
--- a/packages/telemetry/src/audit/__tests__/audit_task.test.ts
+++ b/packages/telemetry/src/audit/__tests__/audit_task.test.ts
@@ -14,9 +14,9 @@
   }
 }
 
-async function audit(
+async function runAuditTask(
   states: ReadonlyArray<FakeSink['state']>,
-  entriesEach: number,
+  entriesPerState: number,
 ) {
   const sink = new FakeSink();
   let second = 0;
@@ -32,7 +32,7 @@
   let count = 0;
   for (const state of states) {
     sink.state = state;
-    for (let index = 0; index < entriesEach; index += 1) {
+    for (let index = 0; index < entriesPerState; index += 1) {
       count += 1;
       task.tell({
         kind: 'record',
@@ -52,18 +52,18 @@
   return {left, objects: [...sink.objects]};
 }
 
-// Guards against entries that are lost or doubled while the store is down or
-// loses answers, and against names that do not sort by time.
-it('keeps entries in memory until the store takes them', async () => {
-  const {left, objects} = await audit(['down', 'answers-lost', 'up'], 1);
+// Guards against entries that are lost or duplicated while the store is down or
+// its responses are lost, and against names that do not sort by time.
+it('buffers entries until the store accepts them', async () => {
+  const {left, objects} = await runAuditTask(['down', 'answers-lost', 'up'], 1);
   expect({left, objects}).toMatchSnapshot();
   const names = objects.map(([name]) => name);
   expect(names).toEqual([...names].sort());
 });
 
-// Guards against a buffer that grows for the length of an outage.
-it('bounds the buffer and states what was dropped', async () => {
-  const {left, objects} = await audit(['down', 'up'], 600);
+// Guards against a buffer that grows without limit during an outage.
+it('limits the buffer and records how many entries were dropped', async () => {
+  const {left, objects} = await runAuditTask(['down', 'up'], 600);
   expect({
     left,
     stored: objects.length,
--- a/packages/telemetry/src/audit/audit_task.ts
+++ b/packages/telemetry/src/audit/audit_task.ts
@@ -5,41 +5,45 @@
 import type {AuditEntry} from './audit_entry.js';
 
 const MAX_BUFFERED_ENTRIES = 1_000;
-const RETRY_MS = 1_000;
+const RETRY_DELAY_MS = 1_000;
 
-/** Where entries go; the platform's object store satisfies it. */
+/** Stores audit entries. The platform's object store implements it. */
 export interface AuditSink {
   put(name: string, body: string): Promise<Result<void, unknown>>;
 }
 
+/** The messages of `AuditTask`. */
 export type AuditMessage =
+  /** Adds an entry, which gets the current time. */
   | {readonly kind: 'record'; readonly entry: Omit<AuditEntry, 'time'>}
+  /** Sends the buffered entries and schedules a retry if any remain. */
   | {readonly kind: 'send'}
-  /** Tries once to send what is left; answers how many entries remain. */
+  /** Sends the buffered entries once; replies with the number that remain. */
   | {readonly kind: 'flush'; readonly reply: Reply<number>};
 
-interface Waiting {
+interface BufferedEntry {
   readonly name: string;
   readonly entry: AuditEntry;
 }
 
+/** The settings and callbacks of `AuditTask`. */
 export interface AuditOptions {
-  /** Unique for each run of a process. */
+  /** Identifies one run of a process; part of the object names. */
   readonly writer: string;
   readonly wallClock: () => Date;
   /**
-   * The wait before an entry is sent. It is spread over the VMs, as hundreds
-   * of them record the same change at the same time.
+   * Returns the delay before an entry is sent. It differs between VMs, because
+   * hundreds of them may record the same change at the same time.
    */
   readonly sendDelayMs: () => number;
-  /** Called with the number of entries that wait, after each change. */
+  /** Called after each message with the number of buffered entries. */
   readonly onBuffered?: (entries: number) => void;
   readonly onFault: (err: unknown) => void;
 }
 
-/** Owns the audit entries that the object store has not taken yet. */
+/** Buffers audit entries until the object store has accepted them. */
 export class AuditTask extends Task<AuditMessage> {
-  private buffer: Waiting[] = [];
+  private buffer: BufferedEntry[] = [];
   private sequence = 0;
   private dropped = 0;
   private timer: NodeJS.Timeout | undefined;
@@ -73,7 +77,7 @@
 
   protected override onFailure(err: unknown): void {
     this.options.onFault(err);
-    this.schedule(RETRY_MS);
+    this.schedule(RETRY_DELAY_MS);
   }
 
   override async stop(): Promise<void> {
@@ -82,7 +86,7 @@
   }
 
   private record(entry: Omit<AuditEntry, 'time'>): void {
-    this.add(entry);
+    this.addToBuffer(entry);
     if (this.buffer.length > MAX_BUFFERED_ENTRIES) {
       this.buffer.shift();
       this.dropped += 1;
@@ -90,7 +94,7 @@
     if (!this.timer) this.schedule(this.options.sendDelayMs());
   }
 
-  private add(entry: Omit<AuditEntry, 'time'>): void {
+  private addToBuffer(entry: Omit<AuditEntry, 'time'>): void {
     const complete = {
       time: this.options.wallClock().toISOString(),
       ...entry,
@@ -103,24 +107,24 @@
   private async send(): Promise<void> {
     this.timer = undefined;
     await this.sendAll();
-    if (this.buffer.length > 0) this.schedule(RETRY_MS);
+    if (this.buffer.length > 0) this.schedule(RETRY_DELAY_MS);
   }
 
   private async sendAll(): Promise<void> {
     while (this.buffer.length > 0) {
-      const first = this.buffer[0] as Waiting;
-      // A repeated put writes the same body under the same name.
+      const first = this.buffer[0] as BufferedEntry;
+      // Repeating a put is safe: it writes the same body under the same name.
       const put = await this.sink.put(first.name, JSON.stringify(first.entry));
       if (!put.ok) return;
       this.buffer.shift();
-      if (this.buffer.length === 0 && this.dropped > 0) this.reportDropped();
+      if (this.buffer.length === 0 && this.dropped > 0) this.recordDropped();
     }
   }
 
-  private reportDropped(): void {
+  private recordDropped(): void {
     const {dropped} = this;
     this.dropped = 0;
-    this.add({
+    this.addToBuffer({
       actor: this.options.writer,
       action: 'entries-dropped',
       subject: 'audit',
--- a/packages/telemetry/src/bounded_log_stream.ts
+++ b/packages/telemetry/src/bounded_log_stream.ts
@@ -1,16 +1,17 @@
 import {write} from 'node:fs';
 
-/** Log text that waits for a reader that is slower than the writer. */
-const BUFFER_LIMIT_BYTES = 256 * 1_024;
-/** Records of one second; more are counted and left out. */
-const RECORDS_PER_SECOND = 200;
+/** Limits the memory for log text while its reader is too slow. */
+const MAX_BUFFERED_BYTES = 256 * 1_024;
+/** Records beyond this rate are dropped and counted. */
+const MAX_RECORDS_PER_SECOND = 200;
 
-/** Writes text to a file descriptor without waiting. */
+/** Writes text without blocking and calls `done` when it is written. */
 export type WriteText = (text: string, done: () => void) => void;
 
 /**
- * Takes log records without ever blocking. What exceeds the rate or the buffer
- * is left out, and a record says how much.
+ * A log stream that never blocks. Records that exceed the rate or the buffer
+ * are dropped; a `log.dropped` record before the next one that is written
+ * states how many.
  */
 export class BoundedLogStream {
   private buffer: string[] = [];
@@ -24,16 +25,17 @@
     private readonly writeText: WriteText = writeToStdout,
   ) {}
 
+  /** Writes one record or drops it. Called by the logger. */
   write(record: string): void {
     const now = this.clock();
     if (now - this.window.startedAt >= 1_000) {
       this.window = {startedAt: now, records: 0};
     }
     this.window.records++;
-    const isOver =
-      this.window.records > RECORDS_PER_SECOND ||
-      this.bufferedBytes + record.length > BUFFER_LIMIT_BYTES;
-    if (isOver) {
+    const exceedsLimit =
+      this.window.records > MAX_RECORDS_PER_SECOND ||
+      this.bufferedBytes + record.length > MAX_BUFFERED_BYTES;
+    if (exceedsLimit) {
       this.dropped++;
       return;
     }
@@ -65,12 +67,12 @@
 
 const STDOUT = 1;
 
-/** Uses a worker of the runtime, as writing to a pipe may block. */
+/** Writes in a worker thread of Node.js, as a write to a pipe may block. */
 function writeToStdout(text: string, done: () => void): void {
   const bytes = Buffer.from(text);
   const writeFrom = (offset: number): void => {
     write(STDOUT, bytes, offset, (err, written) => {
-      // A log that cannot be written has nowhere to report that.
+      // An error is ignored: it could be reported only to this log.
       if (err || offset + written >= bytes.length) done();
       else writeFrom(offset + written);
     });
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** Logs, metrics and the audit trail. */
+/** Logging, metrics and the audit trail. */
 export {AUDIT_PREFIX} from './audit/audit_entry.js';
 export type {AuditAction, AuditEntry} from './audit/audit_entry.js';
 export {AuditTask} from './audit/audit_task.js';
--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -2,17 +2,24 @@
 import bunyan from 'bunyan';
 import {BoundedLogStream} from './bounded_log_stream.js';
 
-/** The levels that settings may name. */
+/** The log levels that the settings accept. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
+/** A structured logger that writes JSON records. */
 export type Logger = bunyan;
 
-/** Creates the process's logger. Each record names its event in `event`. */
+/**
+ * Creates the logger of a process. Callers set the field `event` of each record
+ * to the kind of event.
+ */
 export function createLogger(vm: string, level: LogLevel): Logger {
   return bunyan.createLogger({name: 'pistachiorill', vm, level});
 }
 
-/** Creates a logger that never blocks and leaves out what is too much. */
+/**
+ * Creates a logger that never blocks and drops records beyond the limits of
+ * `BoundedLogStream`.
+ */
 export function createBoundedLogger(vm: string, level: LogLevel): Logger {
   const stream = new BoundedLogStream(() => performance.now());
   return bunyan.createLogger({
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -17,7 +17,7 @@
 
   readonly statementSeconds = new Histogram({
     name: 'pistachiorill_statement_seconds',
-    help: 'Time from the arrival of a statement to its reply.',
+    help: 'Time from the arrival of a statement to its response, in seconds.',
     labelNames: ['access'],
     buckets: LATENCY_BUCKETS_S,
     registers: [this.registry],
@@ -32,7 +32,7 @@
 
   readonly processCpuSeconds = new Gauge({
     name: 'pistachiorill_process_cpu_seconds',
-    help: 'CPU time of the process, user and system.',
+    help: 'User and system CPU time of the process, in seconds.',
     registers: [this.registry],
     collect() {
       const {user, system} = process.cpuUsage();
@@ -42,7 +42,7 @@
 
   readonly residentBytes = new Gauge({
     name: 'pistachiorill_resident_bytes',
-    help: 'Resident memory of the process.',
+    help: 'Resident memory of the process, in bytes.',
     registers: [this.registry],
     collect() {
       this.set(process.memoryUsage.rss());
@@ -51,25 +51,25 @@
 
   readonly configurationVersion = new Gauge({
     name: 'pistachiorill_configuration_version',
-    help: 'The configuration version that is applied.',
+    help: 'The applied configuration version.',
     registers: [this.registry],
   });
 
   readonly draining = new Gauge({
     name: 'pistachiorill_draining',
-    help: 'Whether the VM takes no new work: 1 while it drains, else 0.',
+    help: '1 while the VM drains and accepts no new work, otherwise 0.',
     registers: [this.registry],
   });
 
   readonly configurationReadTime = new Gauge({
     name: 'pistachiorill_configuration_read_time_seconds',
-    help: 'Wall-clock time of the last read of the version row.',
+    help: 'Unix time of the last read of the version row, in seconds.',
     registers: [this.registry],
   });
 
   readonly auditBuffered = new Gauge({
     name: 'pistachiorill_audit_buffered',
-    help: 'Audit entries that the object store has not taken yet.',
+    help: 'Audit entries that the object store has not accepted yet.',
     registers: [this.registry],
   });
 }
