--- a/packages/cli/src/__tests__/executable.test.ts
+++ b/packages/cli/src/__tests__/executable.test.ts
@@ -14,12 +14,12 @@
 }
 
 beforeAll(() => {
-  const built = run(process.execPath, ['scripts/build_executable.mjs']);
-  expect(built.status, built.stderr).toBe(0);
+  const build = run(process.execPath, ['scripts/build_executable.mjs']);
+  expect(build.status, build.stderr).toBe(0);
 }, 60_000);
 
-// Guards against an executable that needs files beside it, prints warnings of
-// its packaging, or answers with a wrong exit code.
+// Guards against an executable that depends on other files, prints warnings
+// about its packaging, or returns a wrong exit code.
 it.each([
   ['--help'],
   ['check', `${FIXTURES}/small.ini`],
--- a/packages/cli/src/commands/audit.ts
+++ b/packages/cli/src/commands/audit.ts
@@ -5,16 +5,16 @@
 import type {Output} from '../support/output.js';
 import type {Platform} from '../support/platform.js';
 
-/** Which entries `audit` shows. */
+/** The options of `audit`. */
 export interface AuditOptions {
-  /** A date or time such as `2026-01-31`; entries from then on are shown. */
+  /** Date or time of the first entry to print, such as `2026-01-31`. */
   readonly since: string;
-  /** The latest entries are shown, at most this many. */
+  /** The maximum number of entries; the latest ones are printed. */
   readonly limit: number;
   readonly format: 'text' | 'json';
 }
 
-/** Lists the audit trail in the order of time. */
+/** Prints the entries of the audit trail in chronological order. */
 export async function runAudit(
   options: AuditOptions,
   platform: Platform,
@@ -25,11 +25,11 @@
     out.warn(`the audit trail could not be read: ${names.err.kind}`);
     return EXIT_CODES.unavailable;
   }
-  const chosen = names.value
+  const selected = names.value
     .filter(name => name >= `${AUDIT_PREFIX}${options.since}`)
     .slice(-options.limit);
   let code: ExitCode = EXIT_CODES.done;
-  for (const name of chosen) {
+  for (const name of selected) {
     const body = await platform.objects.get(name);
     if (body.ok && body.value !== undefined) {
       out.print(options.format === 'json' ? body.value : format(body.value));
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -4,7 +4,7 @@
 import {loadDocument} from '../support/load_document.js';
 import type {Output} from '../support/output.js';
 
-/** Checks a document file without the platform. */
+/** Checks a document file and prints its hash, without the platform. */
 export function runCheck(path: string, out: Output): ExitCode {
   const document = loadDocument(path, out);
   if (!document) return EXIT_CODES.invalid;
--- a/packages/cli/src/commands/entry.ts
+++ b/packages/cli/src/commands/entry.ts
@@ -8,7 +8,7 @@
 import type {Output} from '../support/output.js';
 import {readText} from '../support/read_text.js';
 
-/** Runs the daemon until SIGTERM or SIGINT. */
+/** Runs the daemon of an entry VM until SIGTERM or SIGINT. */
 export async function runEntry(
   settingsPath: string,
   out: Output,
--- a/packages/cli/src/commands/promote.ts
+++ b/packages/cli/src/commands/promote.ts
@@ -21,21 +21,23 @@
 import {readCurrent} from '../support/read_current.js';
 import {recordPromotion} from '../support/record_promotion.js';
 
-const WRITE_LIMIT_MS = 10_000;
+const WRITE_TIMEOUT_MS = 10_000;
 
 /** The options of `trial` and `promote`. */
 export interface PromoteOptions {
   readonly environment: Environment;
   readonly path: string;
   readonly actor: string;
+  /** The version that the document was edited from; by default the current. */
   readonly basedOn: number | undefined;
   readonly trialCheck: PromotionRequest['trialCheck'];
-  /** Whether only the changes are shown. */
+  /** `show-changes` prints the changes and does not promote. */
   readonly mode: 'promote' | 'show-changes';
+  /** Time to wait for the VMs, after the time limit of the write. */
   readonly waitMs: number;
 }
 
-/** Shows the changes of a document, promotes it and waits for the VMs. */
+/** Prints the changes of a document, promotes it and waits for the VMs. */
 export async function runPromote(
   options: PromoteOptions,
   platform: Platform,
@@ -58,7 +60,7 @@
   await list.read();
   const outcome = await promoteDocument(
     document.body,
-    request(options, document.body, operationId, row?.version ?? 0),
+    toRequest(options, document.body, operationId, row?.version ?? 0),
     {
       table: platform.table,
       objects: platform.objects,
@@ -88,7 +90,7 @@
     platform,
     out,
   );
-  return report(outcome, out);
+  return printOutcome(outcome, out);
 }
 
 function printChanges(
@@ -102,7 +104,7 @@
   for (const change of changes) out.print(`  ${formatChange(change)}`);
 }
 
-function request(
+function toRequest(
   options: PromoteOptions,
   body: string,
   operationId: string,
@@ -114,15 +116,15 @@
     hash: hashOf(body),
     operationId,
     actor: options.actor,
-    // The version whose changes were shown, so that no other is replaced.
+    // Only the version that the printed changes refer to may be replaced.
     basedOn: options.basedOn ?? currentVersion,
     trialCheck: options.trialCheck,
-    writeUntil: now + WRITE_LIMIT_MS,
-    waitUntil: now + WRITE_LIMIT_MS + options.waitMs,
+    writeUntil: now + WRITE_TIMEOUT_MS,
+    waitUntil: now + WRITE_TIMEOUT_MS + options.waitMs,
   };
 }
 
-function report(outcome: PromotionOutcome, out: Output): ExitCode {
+function printOutcome(outcome: PromotionOutcome, out: Output): ExitCode {
   const description = describeOutcome(outcome);
   const print = description.exitCode === EXIT_CODES.done ? out.print : out.warn;
   for (const line of description.lines) print(line);
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -8,7 +8,10 @@
 import type {Platform} from '../support/platform.js';
 import {readCurrent} from '../support/read_current.js';
 
-/** Shows the versions applied, the groups and what drains. */
+/**
+ * Prints the version in force, what is out of service, and the status of VMs
+ * and groups.
+ */
 export async function runStatus(
   environment: Environment,
   platform: Platform,
@@ -18,7 +21,7 @@
   const answers = await readVmStatuses(platform.vms, platform.timeoutMs);
   if (!current.ok) out.warn(`the document is not known: ${current.err}`);
   if (!answers) out.warn('the list of VMs could not be read');
-  const own = (answers ?? []).filter(
+  const answersOfEnvironment = (answers ?? []).filter(
     answer =>
       answer.kind !== 'status' || answer.status.environment === environment,
   );
@@ -31,21 +34,25 @@
     );
     for (const item of sections.data_centre) {
       if (item.values.state === 'out') {
-        out.print(`data centre ${item.name} is out of service${why(item)}`);
+        out.print(
+          `data centre ${item.name} is out of service${reasonSuffix(item)}`,
+        );
       }
     }
     for (const item of sections.backend_server) {
       if (item.values.state === 'leaving') {
-        out.print(`backend server ${item.name} is leaving${why(item)}`);
+        out.print(
+          `backend server ${item.name} is leaving${reasonSuffix(item)}`,
+        );
       }
     }
   }
-  printTable('VMs', vmRows(own), out);
-  printTable('groups', groupRows(own), out);
+  printTable('VMs', vmRows(answersOfEnvironment), out);
+  printTable('groups', groupRows(answersOfEnvironment), out);
   return current.ok && answers ? EXIT_CODES.done : EXIT_CODES.unavailable;
 }
 
-function why(item: {values: {reason?: string | undefined}}): string {
+function reasonSuffix(item: {values: {reason?: string | undefined}}): string {
   return item.values.reason === undefined ? '' : ` (${item.values.reason})`;
 }
 
@@ -85,7 +92,7 @@
       reasons === '' ? status.lifecycle : `${status.lifecycle}: ${reasons}`,
     ];
   });
-  const heads = [
+  const header = [
     'VM',
     'DATA CENTRE',
     'LISTED',
@@ -94,10 +101,14 @@
     'CALLERS',
     'STATE',
   ];
-  return [heads, ...rows];
+  return [header, ...rows];
 }
 
-/** Of several VMs' views of a group, the one with the highest term counts. */
+/**
+ * Lists the members of each group. If VMs report different views of a group,
+ * the one with the highest term is used, and among equal terms the one with the
+ * most reachable members.
+ */
 function groupRows(answers: readonly VmStatusAnswer[]): string[][] {
   const best = new Map<string, GroupStatus>();
   for (const answer of answers) {
@@ -132,9 +143,9 @@
 
 function isBetter(group: GroupStatus, known: GroupStatus): boolean {
   if (group.term !== known.term) return group.term > known.term;
-  return reachableIn(group) > reachableIn(known);
+  return reachableMembers(group) > reachableMembers(known);
 }
 
-function reachableIn(group: GroupStatus): number {
+function reachableMembers(group: GroupStatus): number {
   return group.members.filter(m => m.reachability === 'reachable').length;
 }
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,4 @@
-/** The pistachiorill program. */
+/** The `pistachiorill` command-line program. */
 export {runCli} from './run_cli.js';
 export {EXIT_CODES} from './support/exit_code.js';
 export type {ExitCode} from './support/exit_code.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -6,7 +6,7 @@
   warn: (line: string) => console.error(line),
 };
 
-// Not a top-level await: the single executable is built as CommonJS.
+// The single executable is built as CommonJS, which has no top-level await.
 runCli(process.argv.slice(2), import.meta.url, OUTPUT).then(
   code => process.exit(code),
   (err: unknown) => {
--- a/packages/cli/src/run_cli.ts
+++ b/packages/cli/src/run_cli.ts
@@ -65,10 +65,10 @@
   json: {type: 'boolean', default: false},
 } as const;
 
-/** Parses the command line and runs one command. */
+/** Parses the command line, runs the command and returns its exit code. */
 export async function runCli(
   args: readonly string[],
-  /** The address of the program's main module. */
+  /** The `import.meta.url` of the program's main module. */
   moduleUrl: string,
   out: Output,
 ): Promise<ExitCode> {
@@ -83,7 +83,7 @@
   const [command, path] = input;
   const {timeoutMs, basedOn = 0, waitMs, limit} = flags;
   const numbers = [timeoutMs - 1, basedOn, waitMs, limit - 1];
-  // An option that is no number becomes NaN, which is not at least 0 either.
+  // Also rejects options that are not numbers, as they are parsed to NaN.
   if (!numbers.every(value => value >= 0)) {
     return usage('expected numbers in range for the options', out);
   }
@@ -102,14 +102,14 @@
       const platform = platformOf(flags);
       if (!platform) return usage('expected --platform http://host:port', out);
       const environment = command === 'trial' ? 'trial' : 'production';
-      const tried = command === 'trial' || flags.untried;
+      const skipTrialCheck = command === 'trial' || flags.untried;
       return runPromote(
         {
           environment,
           path,
           actor: flags.actor ?? userInfo().username,
           basedOn: flags.basedOn,
-          trialCheck: tried ? 'skipped' : 'required',
+          trialCheck: skipTrialCheck ? 'skipped' : 'required',
           mode: flags.dryRun ? 'show-changes' : 'promote',
           waitMs: flags.waitMs,
         },
--- a/packages/cli/src/support/announcing_vm_reports.ts
+++ b/packages/cli/src/support/announcing_vm_reports.ts
@@ -3,11 +3,12 @@
 import {VmReports} from '@pistachiorill/store';
 import type {VmList} from '@pistachiorill/store';
 
-const TIMEOUT_MS = 1_000;
+const ANNOUNCE_TIMEOUT_MS = 1_000;
 
 /**
- * Sends the version to every VM that can be reached before it asks which VMs
- * run it, so that a majority does not depend on the store reaching the VMs.
+ * Announces a version to every reachable VM before it reads which VMs have
+ * applied it. A majority can then apply the version even if the VMs cannot
+ * reach the store.
  */
 export class AnnouncingVmReports extends VmReports {
   private announcedVersion = 0;
@@ -40,7 +41,7 @@
         const client = new PeerClient(address);
         await client.announce(
           {version, ...this.document},
-          {timeoutMs: TIMEOUT_MS},
+          {timeoutMs: ANNOUNCE_TIMEOUT_MS},
         );
         client.close();
       }),
--- a/packages/cli/src/support/describe_outcome.ts
+++ b/packages/cli/src/support/describe_outcome.ts
@@ -6,13 +6,13 @@
 import {EXIT_CODES} from './exit_code.js';
 import type {ExitCode} from './exit_code.js';
 
-/** What an operator is told about a promotion. */
+/** The output and the exit code for the outcome of a promotion. */
 export interface OutcomeDescription {
   readonly exitCode: ExitCode;
   readonly lines: readonly string[];
 }
 
-/** Describes the outcome of a promotion and chooses the exit code. */
+/** Describes the outcome of a promotion to the operator. */
 export function describeOutcome(outcome: PromotionOutcome): OutcomeDescription {
   switch (outcome.kind) {
     case 'promoted':
@@ -82,7 +82,7 @@
 ): readonly string[] {
   if (spread === 'unknown') return ['the list of VMs could not be read'];
   const live = vms.filter(vm => vm.listed === 'live');
-  const running = live.filter(vm => runs(vm, version));
+  const running = live.filter(vm => runsVersion(vm, version));
   const majority = spread === 'minority' ? 'NOT a majority' : 'a majority';
   return [
     `${running.length} of ${live.length} live VMs run version ${version}` +
@@ -91,7 +91,7 @@
   ];
 }
 
-function runs(vm: VmReport, version: number): boolean {
+function runsVersion(vm: VmReport, version: number): boolean {
   return vm.kind === 'applied' && vm.version >= version;
 }
 
--- a/packages/cli/src/support/format_table.ts
+++ b/packages/cli/src/support/format_table.ts
@@ -1,4 +1,4 @@
-/** Aligns rows in columns. */
+/** Formats rows as lines whose columns are aligned. */
 export function formatTable(
   rows: ReadonlyArray<readonly string[]>,
 ): readonly string[] {
--- a/packages/cli/src/support/last_vm_list.ts
+++ b/packages/cli/src/support/last_vm_list.ts
@@ -4,11 +4,11 @@
 import type {ListedVm, PlatformError} from '@pistachiorill/store';
 
 /**
- * Keeps the last list that was read, so that a version that is in force can be
- * announced when the platform goes down right after the write.
+ * Returns the last list that was read if the platform is unavailable, so that a
+ * version can be announced even if the platform fails right after the write.
  */
 export class LastVmList extends VmList {
-  private last: readonly ListedVm[] | undefined;
+  private lastRead: readonly ListedVm[] | undefined;
 
   constructor(private readonly list: VmList) {
     super();
@@ -16,7 +16,7 @@
 
   override async read(): Promise<Result<readonly ListedVm[], PlatformError>> {
     const vms = await this.list.read();
-    if (vms.ok) this.last = vms.value;
-    return vms.ok || !this.last ? vms : ok(this.last);
+    if (vms.ok) this.lastRead = vms.value;
+    return vms.ok || !this.lastRead ? vms : ok(this.lastRead);
   }
 }
--- a/packages/cli/src/support/load_document.ts
+++ b/packages/cli/src/support/load_document.ts
@@ -4,15 +4,16 @@
 import type {Output} from './output.js';
 import {readText} from './read_text.js';
 
-/** A document file that has no errors. */
+/** The contents of a document file without errors. */
 export interface LoadedDocument {
   readonly body: string;
   readonly sections: DocumentSections;
 }
 
 /**
- * Reads and checks a file for both environments, as the same body is promoted
- * to both. Prints the faults and returns undefined if there are errors.
+ * Reads a file and checks it for both environments, because the same body is
+ * promoted to both. Prints errors and warnings; returns undefined if there are
+ * errors.
  */
 export function loadDocument(
   path: string,
--- a/packages/cli/src/support/output.ts
+++ b/packages/cli/src/support/output.ts
@@ -1,4 +1,4 @@
-/** Where a command prints, so that tests can read it. */
+/** The output of a command. Tests replace it to read what is printed. */
 export interface Output {
   /** Results, on standard output. */
   readonly print: (line: string) => void;
--- a/packages/cli/src/support/platform.ts
+++ b/packages/cli/src/support/platform.ts
@@ -5,15 +5,16 @@
 } from '@pistachiorill/store';
 import type {ObjectStore, TableService, VmList} from '@pistachiorill/store';
 
-/** The platform as the operators' commands use it. */
+/** Clients for the platform services that the operators' commands use. */
 export interface Platform {
   readonly table: TableService;
   readonly objects: ObjectStore;
   readonly vms: VmList;
+  /** Time limit of one request to the platform or to a VM. */
   readonly timeoutMs: number;
 }
 
-/** Opens the platform at a base address. */
+/** Creates the clients for a platform at `baseUrl`. */
 export function openPlatform(baseUrl: string, timeoutMs: number): Platform {
   const endpoint = {baseUrl, timeoutMs};
   return {
--- a/packages/cli/src/support/read_current.ts
+++ b/packages/cli/src/support/read_current.ts
@@ -17,15 +17,18 @@
   readonly sections: DocumentSections;
 }
 
-const ATTEMPTS = 3;
+const MAX_ATTEMPTS = 3;
 
-/** Reads the document in force; a lost answer is asked for again. */
+/**
+ * Reads the document in force and retries failed requests. The error states
+ * which service failed.
+ */
 export async function readCurrent(
   environment: Environment,
   platform: Platform,
 ): Promise<Result<CurrentDocument, string>> {
   let last: Result<CurrentDocument, string> = fail('not asked');
-  for (let attempt = 0; attempt < ATTEMPTS && !last.ok; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS && !last.ok; attempt += 1) {
     last = await readOnce(environment, platform);
   }
   return last;
--- a/packages/cli/src/support/read_text.ts
+++ b/packages/cli/src/support/read_text.ts
@@ -1,7 +1,7 @@
 import {readFileSync} from 'node:fs';
 import type {Output} from './output.js';
 
-/** Reads a file, or prints why it cannot be read. */
+/** Reads a file. Prints an error and returns undefined if that fails. */
 export function readText(path: string, out: Output): string | undefined {
   try {
     return readFileSync(path, 'utf8');
--- a/packages/cli/src/support/record_promotion.ts
+++ b/packages/cli/src/support/record_promotion.ts
@@ -12,24 +12,29 @@
 import type {Output} from './output.js';
 import type {Platform} from './platform.js';
 
-/** A promotion as the audit trail records it. */
+/** A promotion and its outcome, for the audit trail. */
 export interface PromotionRecord {
   readonly environment: Environment;
   readonly actor: string;
   readonly operationId: string;
+  /** The version row before the promotion; undefined if there was none. */
   readonly before: VersionedRow | undefined;
+  /** The hash of the promoted document. */
   readonly hash: string;
   readonly changes: readonly DocumentChange[];
   readonly outcome: PromotionOutcome;
 }
 
-/** Writes a promotion and its changes to the audit trail. */
+/**
+ * Writes a promotion and its changes to the audit trail. Prints the entries
+ * that could not be stored.
+ */
 export async function recordPromotion(
   record: PromotionRecord,
   platform: Platform,
   out: Output,
 ): Promise<void> {
-  const entries = entriesOf(record);
+  const entries = toAuditEntries(record);
   const audit = new AuditTask(platform.objects, {
     writer: `operator-${randomUUID()}`,
     wallClock: () => new Date(),
@@ -45,7 +50,9 @@
   }
 }
 
-function entriesOf(record: PromotionRecord): Array<Omit<AuditEntry, 'time'>> {
+function toAuditEntries(
+  record: PromotionRecord,
+): Array<Omit<AuditEntry, 'time'>> {
   const {outcome, environment, actor, operationId} = record;
   const subject = `configuration/${environment}`;
   const before = `version ${record.before?.version ?? 0}`;
