--- a/packages/mysql/src/server_connection.ts
+++ b/packages/mysql/src/server_connection.ts
@@ -172,9 +172,9 @@
   }
 
   /**
-   * Sends an error and closes. The client takes the error for the response to a
-   * request that it sends before it sees the close. Such a request is never
-   * passed to `onQuery`, so an error that states "not run" is correct for it.
+   * Sends an error and closes. If a request of the client is already in transit,
+   * the error serves as its response. Such a request is never passed to
+   * `onQuery`, so an error that states "not run" is correct for it.
    */
   closeWith(err: ClientError): void {
     if (this.state === 'closed') return;
--- a/packages/peers/src/procedures/forward_schema.ts
+++ b/packages/peers/src/procedures/forward_schema.ts
@@ -20,6 +20,10 @@
   }),
 ]);
 
+/**
+ * What a read must observe: a minimum log position, or `unknown` for a session
+ * token that could not be verified. Reads with `unknown` run at the primary.
+ */
 const REQUIREMENT_SCHEMA = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('at-least'),
@@ -35,7 +39,9 @@
 export const WIRE_STATEMENT_SCHEMA = z.object({
   connectionId: z.string(),
   caller: CALLER_SCHEMA,
+  /** The name from the handshake: a service or one of its databases. */
   databaseName: z.string(),
+  /** The database group that executes the statement. */
   database: z.string(),
   sql: z.string(),
   scope: z.enum(['autocommit', 'transaction']),
@@ -66,6 +72,7 @@
 
 export type WireStatement = z.infer<typeof WIRE_STATEMENT_SCHEMA>;
 
+/** Requests the execution of one statement. */
 export const FORWARD_SCHEMA = z.object({statement: WIRE_STATEMENT_SCHEMA});
 
 export type ForwardRequest = z.infer<typeof FORWARD_SCHEMA>;
@@ -100,6 +107,7 @@
   database: z.string(),
   /** The log position that later reads of the session must cover. */
   seen: z.object({term: z.number(), position: z.number()}).nullable(),
+  /** The backend server that executed the statement. */
   backendServer: z.string(),
   servedBy: z.enum(['primary', 'replica']),
 });
--- a/packages/peers/src/procedures/probe_schema.ts
+++ b/packages/peers/src/procedures/probe_schema.ts
@@ -19,10 +19,11 @@
 
 /** The versions at the sender. */
 export const VERSION_REPORT_SCHEMA = z.object({
-  /** The newest versions that the sender has received. */
+  /** The highest versions that the sender has received notice of. */
   known: VERSIONS_SCHEMA,
+  /** The versions in force at the sender; this acknowledges them. */
   applied: VERSIONS_SCHEMA,
-  /** Time since `known` was proven current; null if it never was. */
+  /** Age of the proof that `known` was current; null if there is none. */
   proofAgeMs: z.number().nonnegative().nullable(),
 });
 
--- a/packages/store/src/transactional_store.ts
+++ b/packages/store/src/transactional_store.ts
@@ -48,7 +48,7 @@
   /** The store no longer keeps the changes since the requested version. */
   | {readonly kind: 'history-lost'};
 
-/** Why a transaction is not known to be committed. */
+/** Why a transaction failed or has an unknown outcome. */
 export type StoreWriteError =
   /** A row did not have the expected version. */
   | {readonly kind: 'conflict'}
