--- a/packages/peers/src/procedures/forward_schema.ts
+++ b/packages/peers/src/procedures/forward_schema.ts
@@ -20,6 +20,10 @@
   }),
 ]);
 
+/**
+ * What a read must observe: a minimum log position, or `unknown` for a session
+ * token that could not be verified. Reads with `unknown` run at the primary.
+ */
 const REQUIREMENT_SCHEMA = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('at-least'),
@@ -29,13 +33,15 @@
 ]);
 
 /**
- * A routed statement between VMs. Times are durations, since the clocks of two
- * VMs cannot be compared.
+ * A routed statement as one VM forwards it to another. Times are durations,
+ * because the clocks of two VMs cannot be compared.
  */
 export const WIRE_STATEMENT_SCHEMA = z.object({
   connectionId: z.string(),
   caller: CALLER_SCHEMA,
+  /** The name from the handshake: a service or one of its databases. */
   databaseName: z.string(),
+  /** The database group that executes the statement. */
   database: z.string(),
   sql: z.string(),
   scope: z.enum(['autocommit', 'transaction']),
@@ -58,14 +64,15 @@
   route: ROUTE_SCHEMA,
   maxAgeMs: z.number(),
   requirement: REQUIREMENT_SCHEMA,
-  /** How long ago the statement arrived when it was sent on. */
+  /** Time from the statement's arrival until it was forwarded. */
   elapsedMs: z.number().nonnegative(),
-  /** How long the caller still waits. */
+  /** Time until the caller's deadline. */
   remainingMs: z.number().nonnegative(),
 });
 
 export type WireStatement = z.infer<typeof WIRE_STATEMENT_SCHEMA>;
 
+/** Requests the execution of one statement. */
 export const FORWARD_SCHEMA = z.object({statement: WIRE_STATEMENT_SCHEMA});
 
 export type ForwardRequest = z.infer<typeof FORWARD_SCHEMA>;
@@ -84,7 +91,7 @@
   z.object({
     kind: z.literal('rows'),
     columns: z.array(COLUMN_SCHEMA),
-    /** Cells in base64. */
+    /** Cell values in base64; null for SQL NULL. */
     rows: z.array(z.array(z.string().nullable())),
   }),
   z.object({
@@ -94,17 +101,20 @@
   }),
 ]);
 
+/** The reply of a backend server as one VM returns it to another. */
 export const WIRE_REPLY_SCHEMA = z.object({
   result: WIRE_RESULT_SCHEMA,
   database: z.string(),
+  /** The log position that later reads of the session must cover. */
   seen: z.object({term: z.number(), position: z.number()}).nullable(),
+  /** The backend server that executed the statement. */
   backendServer: z.string(),
   servedBy: z.enum(['primary', 'replica']),
 });
 
 export type WireReply = z.infer<typeof WIRE_REPLY_SCHEMA>;
 
-/** What the owner of a group answers to a forwarded statement. */
+/** The response of a group's owner to a forwarded statement. */
 export type ForwardAnswer =
   | {readonly ok: true; readonly value: WireReply}
   | {readonly ok: false; readonly err: Refusal};
