--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins of the platform and of database groups for tests and the demo. */
+/** Stand-ins for the platform and for database groups, for tests and the demo. */
 export {LinkServer} from './link/link_server.js';
 export type {LinkSettings, LinkState} from './link/link_server.js';
 export {DEFAULT_MEMBER_CONFIG} from './member/member_config.js';
--- a/packages/standins/src/link/__tests__/link_server.test.ts
+++ b/packages/standins/src/link/__tests__/link_server.test.ts
@@ -4,9 +4,9 @@
 import {expect, it} from 'vitest';
 import {LinkServer} from '../link_server.js';
 
-// Guards against a cut link that still passes data, and against a healed one
-// that lost what was sent meanwhile.
-it('keeps what arrives during a cut and passes it on afterwards', async () => {
+// Guards against a cut link that still delivers data, and against an open one
+// that lost the data sent during the cut.
+it('buffers data during a cut and delivers it afterwards', async () => {
   const echo = createServer(socket => socket.pipe(socket));
   echo.listen(0, '127.0.0.1');
   await once(echo, 'listening');
--- a/packages/standins/src/link/link_server.ts
+++ b/packages/standins/src/link/link_server.ts
@@ -3,29 +3,33 @@
 import {performance} from 'node:perf_hooks';
 import {splitAddress} from '@pistachiorill/mysql';
 
-/** What passes a link at present. */
+/** Whether a link relays data (`open`) or holds it back (`cut`). */
 export type LinkState = 'open' | 'cut';
 
+/** The faults of a link, which can change while it relays. */
 export interface LinkSettings {
   readonly state: LinkState;
+  /** Delay in each direction. */
   readonly delayMs: number;
-  /** Local addresses of processes that a partition keeps from the target. */
+  /** Addresses of clients for which the link is cut, whatever `state` says. */
   readonly cutSources: readonly string[];
 }
 
-interface Packet {
+/** Received data that is delivered when its delay is over. */
+interface DelayedChunk {
   readonly dueAt: number;
-  /** Undefined stands for the end of the stream. */
+  /** Undefined marks the end of the stream. */
   readonly data: Buffer | undefined;
 }
 
 /**
- * A TCP relay with a delay in each direction. While it is cut it keeps what
- * arrives, as TCP does across a partition, and passes it on afterwards.
+ * A TCP relay with a delay in each direction. While a link is cut it buffers
+ * the received data, as TCP does during a partition, and delivers it once the
+ * link is open again.
  */
 export class LinkServer {
   private readonly server: Server;
-  private readonly directions = new Set<Direction>();
+  private readonly directions = new Set<RelayDirection>();
 
   private constructor(
     private readonly target: string,
@@ -36,6 +40,7 @@
     );
   }
 
+  /** Listens on `listen` and returns the port, as the requested one may be 0. */
   static start(
     listen: string,
     target: string,
@@ -56,29 +61,33 @@
     return this.current;
   }
 
+  /** Changes the settings and delivers buffered data that is now due. */
   change(changes: Partial<LinkSettings>): void {
     this.current = {...this.current, ...changes};
     for (const direction of this.directions) direction.flush();
   }
 
+  /** Stops listening and closes all relayed connections. */
   close(): void {
     this.server.close();
     for (const direction of this.directions) direction.close();
   }
 
-  private settingsFor(near: Socket): LinkSettings {
-    const cut = this.current.cutSources.includes(near.remoteAddress ?? '');
+  private settingsFor(client: Socket): LinkSettings {
+    const cut = this.current.cutSources.includes(client.remoteAddress ?? '');
     return cut ? {...this.current, state: 'cut'} : this.current;
   }
 
-  private accept(near: Socket): void {
+  private accept(client: Socket): void {
     const {host, port} = splitAddress(this.target);
-    const far = createConnection({host, port, allowHalfOpen: true});
+    const upstream = createConnection({host, port, allowHalfOpen: true});
     for (const [from, to] of [
-      [near, far],
-      [far, near],
+      [client, upstream],
+      [upstream, client],
     ] as const) {
-      const direction = new Direction(from, to, () => this.settingsFor(near));
+      const direction = new RelayDirection(from, to, () =>
+        this.settingsFor(client),
+      );
       this.directions.add(direction);
       from.on('close', () => this.directions.delete(direction));
       from.on('error', () => to.destroy());
@@ -86,9 +95,9 @@
   }
 }
 
-/** One direction of one relayed connection. */
-class Direction {
-  private queue: Packet[] = [];
+/** Relays one direction of one connection. */
+class RelayDirection {
+  private queue: DelayedChunk[] = [];
   private timer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -101,18 +110,18 @@
     from.on('end', () => this.add(undefined));
   }
 
-  /** Passes on what is due, and sets a timer for the rest. */
+  /** Delivers the data that is due and sets a timer for the rest. */
   flush(): void {
     clearTimeout(this.timer);
     if (this.settings().state === 'cut') return;
     while (this.queue[0] && this.queue[0].dueAt <= performance.now()) {
-      const {data} = this.queue.shift() as Packet;
+      const {data} = this.queue.shift() as DelayedChunk;
       if (data) this.to.write(data);
       else this.to.end();
     }
     const [next] = this.queue;
     if (!next) return;
-    // Timers have a resolution of one millisecond.
+    // Timers have a resolution of 1 ms; rounding down would fire too early.
     const waitMs = Math.ceil(next.dueAt - performance.now());
     this.timer = setTimeout(() => this.flush(), waitMs);
   }
--- a/packages/standins/src/member/__tests__/group_control.test.ts
+++ b/packages/standins/src/member/__tests__/group_control.test.ts
@@ -11,7 +11,7 @@
   | readonly ['follow', number]
   | readonly ['restart'];
 
-/** Nothing listens there, so a member that follows it receives nothing. */
+/** No server listens on it, so a member that follows it fetches no entries. */
 const ABSENT_PRIMARY = '127.0.0.1:1';
 
 const CASES: ReadonlyArray<readonly [string, readonly Call[]]> = [
@@ -138,8 +138,8 @@
     }
   });
 
-  // Guards against two primaries in one term, and against a fence that a
-  // repeated call, a stale call or a restart weakens.
+  // Guards against two primaries in one term, and against a fence that is lost
+  // or lowered by a repeated call, a stale call or a restart.
   it.each(CASES)('%s', async (unusedName, calls) => {
     const dataFolder = mkdtempSync(join(tmpdir(), 'member-'));
     folders.push(dataFolder);
@@ -149,14 +149,14 @@
       if (call[0] === 'restart') {
         member.close();
         member = await startMember(dataFolder);
-        seen.push(`restart -> ${shown(await member.control.state())}`);
+        seen.push(`restart -> ${formatResult(await member.control.state())}`);
         continue;
       }
       const result =
         call[0] === 'follow'
           ? await member.control.follow(call[1], ABSENT_PRIMARY)
           : await member.control[call[0]](call[1], call[2]);
-      seen.push(`${call.join(' ')} -> ${shown(result)}`);
+      seen.push(`${call.join(' ')} -> ${formatResult(result)}`);
     }
     member.close();
     expect(seen).toMatchSnapshot();
@@ -183,7 +183,9 @@
   return {control, close};
 }
 
-function shown(result: Awaited<ReturnType<SqlGroupControl['state']>>): string {
+function formatResult(
+  result: Awaited<ReturnType<SqlGroupControl['state']>>,
+): string {
   if (!result.ok) {
     const {err} = result;
     return `${err.kind} ${err.kind === 'lost' ? '' : err.errno}`;
--- a/packages/standins/src/member/__tests__/rejoin.test.ts
+++ b/packages/standins/src/member/__tests__/rejoin.test.ts
@@ -8,14 +8,14 @@
 
 const WAIT_MS = 5_000;
 
-interface Running {
+interface RunningMember {
   readonly address: string;
   readonly server: MemberServer;
   readonly control: SqlGroupControl;
 }
 
 const root = mkdtempSync(join(tmpdir(), 'rejoin-'));
-const running: Running[] = [];
+const running: RunningMember[] = [];
 afterAll(() => {
   for (const {server, control} of running) {
     control.close();
@@ -24,7 +24,7 @@
   rmSync(root, {recursive: true, force: true});
 });
 
-async function start(name: string): Promise<Running> {
+async function start(name: string): Promise<RunningMember> {
   const {port, server} = await MemberServer.start({
     ...DEFAULT_MEMBER_CONFIG,
     connectDelayMs: 0,
@@ -52,7 +52,10 @@
     : 'done';
 }
 
-async function untilAppliedTo(member: Running, term: number): Promise<void> {
+async function untilAppliedTo(
+  member: RunningMember,
+  term: number,
+): Promise<void> {
   const until = Date.now() + WAIT_MS;
   for (;;) {
     const state = await member.control.state();
@@ -62,8 +65,8 @@
   }
 }
 
-// Guards against a former primary that keeps entries nobody else received, so
-// that two members answer the same read differently.
+// Guards against a former primary that keeps entries which no other member
+// received, so that two members return different rows for the same read.
 it('drops unacknowledged entries of a former primary that rejoins', async () => {
   const first = await start('first');
   const second = await start('second');
--- a/packages/standins/src/member/control_statement.ts
+++ b/packages/standins/src/member/control_statement.ts
@@ -9,10 +9,17 @@
 
 type Send = (message: MemberMessage) => void;
 
+/**
+ * `CALL group_<name>(term)` with, after the term, an optional string or number
+ * and an optional log position.
+ */
 const CALL =
   /^CALL group_(\w+)\((\d+)(?:,\s*(?:'((?:[^'\\]|\\.)*)'|(\d+)))?(?:,\s*(\d+))?\)$/;
 
-/** Runs a statement of a control connection. */
+/**
+ * Runs a statement of a control connection: `SHOW GROUP STATE` or a call of
+ * `group_fence`, `group_promote`, `group_follow` or `group_log`.
+ */
 export async function runControlStatement(
   sql: string,
   send: Send,
--- a/packages/standins/src/member/member_config.ts
+++ b/packages/standins/src/member/member_config.ts
@@ -3,17 +3,19 @@
   readonly name: string;
   /** Address as `host:port`. */
   readonly address: string;
+  /** Sessions that the member accepts, data and control connections together. */
   readonly connectionLimit: number;
+  /** Statements that run at the same time. */
   readonly slots: number;
-  /** Time that opening a connection takes. */
+  /** Delay before the handshake of a new connection. */
   readonly connectDelayMs: number;
-  /** Time that a statement occupies a slot. */
+  /** How long each statement occupies a slot. */
   readonly statementMs: number;
   /** Delay between receiving and applying an entry on a replica. */
   readonly applyLagMs: number;
-  /** Folder for the log, term and fence; without it they die with the process. */
+  /** Folder for the log, term and fence; without it a restart loses them. */
   readonly dataFolder?: string;
-  /** Port for faults over HTTP. */
+  /** HTTP port that serves the fault settings; without it none is opened. */
   readonly faultPort?: number;
   readonly dataUser: string;
   readonly dataPassword: string;
@@ -21,6 +23,7 @@
   readonly controlPassword: string;
 }
 
+/** Default settings of a stand-in member. */
 export const DEFAULT_MEMBER_CONFIG: Omit<MemberConfig, 'name' | 'address'> = {
   connectionLimit: 15,
   slots: 2,
--- a/packages/standins/src/member/member_error.ts
+++ b/packages/standins/src/member/member_error.ts
@@ -1,4 +1,4 @@
-/** Why a member refuses or fails a request. */
+/** Why a member refuses a request or fails to execute it. */
 export type MemberError =
   | {readonly kind: 'read-only'; readonly detail: string}
   | {readonly kind: 'stale-term'; readonly detail: string}
@@ -9,7 +9,7 @@
   | {readonly kind: 'access-denied'; readonly detail: string}
   | {readonly kind: 'statement'; readonly detail: string};
 
-/** The errno and SQLSTATE that MySQL uses for an error. */
+/** Returns the errno and SQLSTATE with which MySQL reports an error. */
 export function mysqlErrorOf(err: MemberError): {
   errno: number;
   sqlState: string;
--- a/packages/standins/src/member/member_faults.ts
+++ b/packages/standins/src/member/member_faults.ts
@@ -1,16 +1,16 @@
-/** The faults of a member, which its fault port sets. */
+/** The fault settings of a member, which clients change over its fault port. */
 export interface FaultSettings {
-  /** Delay before a replica receives entries of the primary. */
+  /** Delay before a replica stores entries that it fetched from the primary. */
   readonly receiveLagMs: number;
   /** Delay between receiving and applying an entry on a replica. */
   readonly applyLagMs: number;
-  /** A frozen member answers nothing and receives nothing. */
+  /** A frozen member sends no response and stores no replicated entry. */
   readonly activity: 'running' | 'frozen';
-  /** Addresses of primaries that the member receives nothing from. */
+  /** Addresses of primaries from which the member cannot fetch entries. */
   readonly cutFrom: readonly string[];
 }
 
-/** Holds the present faults and lets work wait for the end of a freeze. */
+/** Holds the current fault settings and blocks work while a member is frozen. */
 export class MemberFaults {
   private waiting: Array<() => void> = [];
 
@@ -20,13 +20,14 @@
     return this.current;
   }
 
+  /** Merges the changes; ending a freeze resumes the blocked work. */
   change(changes: Partial<FaultSettings>): void {
     this.current = {...this.current, ...changes};
     if (this.current.activity === 'frozen') return;
     for (const resume of this.waiting.splice(0)) resume();
   }
 
-  /** Returns at once unless the member is frozen. */
+  /** Resolves when the member is not frozen, immediately if it already runs. */
   async untilRunning(): Promise<void> {
     while (this.current.activity === 'frozen') {
       await new Promise<void>(resolve => this.waiting.push(resolve));
--- a/packages/standins/src/member/member_journal.ts
+++ b/packages/standins/src/member/member_journal.ts
@@ -10,16 +10,19 @@
 import type {MemberRole} from '@pistachiorill/core';
 import type {LogEntry} from './log_entry.js';
 
-/** What a member keeps besides its log. */
+/** The persistent state of a member other than its log. */
 export interface MemberStanding {
   readonly role: MemberRole;
   readonly term: number;
+  /** The member refuses every lower term. */
   readonly fencedTerm: number;
+  /** The only owner that may promote the member in `fencedTerm`. */
   readonly fencedOwner: string;
-  /** Address of the primary that the member follows. */
+  /** Address of the primary that the member follows; empty without one. */
   readonly primary: string;
 }
 
+/** The state of a member that was never fenced or promoted. */
 export const NEW_STANDING: MemberStanding = {
   role: 'replica',
   term: 0,
@@ -29,20 +32,22 @@
 };
 
 /**
- * Where a member keeps its log, term and fence. A member may report an entry
- * or a fence only after the journal has it, since failover counts on both.
+ * Stores the log, term and fence of a member. A member may report an entry or
+ * a fence only after it is in the journal, since failover relies on both.
  */
 export abstract class MemberJournal {
-  abstract load(): {entries: LogEntry[]; standing: MemberStanding};
+  abstract load(): {entries: LogEntry[]; status: MemberStanding};
+  /** Adds entries at the end of the stored log. */
   abstract append(entries: readonly LogEntry[]): void;
+  /** Replaces the whole stored log. */
   abstract replace(entries: readonly LogEntry[]): void;
-  abstract save(standing: MemberStanding): void;
+  abstract save(status: MemberStanding): void;
 }
 
-/** For members that are never restarted. */
+/** Stores nothing; for members that are never restarted. */
 export class VolatileJournal extends MemberJournal {
-  override load(): {entries: LogEntry[]; standing: MemberStanding} {
-    return {entries: [], standing: NEW_STANDING};
+  override load(): {entries: LogEntry[]; status: MemberStanding} {
+    return {entries: [], status: NEW_STANDING};
   }
 
   override append(): void {}
@@ -50,30 +55,29 @@
   override save(): void {}
 }
 
-/** A folder with one file for the log and one for the rest. */
+/** Stores the log in one file of a folder and the other state in a second. */
 export class FolderJournal extends MemberJournal {
   private readonly logFile: string;
-  private readonly standingFile: string;
+  private readonly statusFile: string;
 
   constructor(folder: string) {
     super();
     mkdirSync(folder, {recursive: true});
     this.logFile = join(folder, 'log.jsonl');
-    this.standingFile = join(folder, 'standing.json');
+    this.statusFile = join(folder, 'standing.json');
   }
 
-  override load(): {entries: LogEntry[]; standing: MemberStanding} {
-    // A kill can cut off the last line, which was then reported to nobody.
+  override load(): {entries: LogEntry[]; status: MemberStanding} {
+    // A kill can truncate the last line. Its entry was not reported yet, so it
+    // is dropped.
     const lines = readIfPresent(this.logFile).split('\n').slice(0, -1);
-    const standing = readIfPresent(this.standingFile);
+    const status = readIfPresent(this.statusFile);
     const entries = lines.map(line => JSON.parse(line) as LogEntry);
     this.replace(entries);
     return {
       entries,
-      standing:
-        standing === ''
-          ? NEW_STANDING
-          : (JSON.parse(standing) as MemberStanding),
+      status:
+        status === '' ? NEW_STANDING : (JSON.parse(status) as MemberStanding),
     };
   }
 
@@ -82,11 +86,11 @@
   }
 
   override replace(entries: readonly LogEntry[]): void {
-    writeWhole(this.logFile, encode(entries));
+    writeAtomically(this.logFile, encode(entries));
   }
 
-  override save(standing: MemberStanding): void {
-    writeWhole(this.standingFile, JSON.stringify(standing));
+  override save(status: MemberStanding): void {
+    writeAtomically(this.statusFile, JSON.stringify(status));
   }
 }
 
@@ -98,7 +102,8 @@
   return existsSync(file) ? readFileSync(file, 'utf8') : '';
 }
 
-function writeWhole(file: string, text: string): void {
+/** Replaces a file by renaming, so that a kill leaves no partial content. */
+function writeAtomically(file: string, text: string): void {
   writeFileSync(`${file}.new`, text);
   renameSync(`${file}.new`, file);
 }
--- a/packages/standins/src/member/member_log.ts
+++ b/packages/standins/src/member/member_log.ts
@@ -5,13 +5,16 @@
 import {VolatileJournal} from './member_journal.js';
 import type {MemberJournal} from './member_journal.js';
 
-/** What a primary sends to a replica that asks for its log. */
+/** The response of a primary to a replica that fetches its log. */
 export type LogReply =
   | {readonly kind: 'entries'; readonly entries: readonly LogEntry[]}
-  /** The replica's log differs; it must drop what follows `keep`. */
+  /** The logs differ; the replica must drop its entries after `keep`. */
   | {readonly kind: 'diverged'; readonly keep: number};
 
-/** The replicated log of a member with its role, term and fence. */
+/**
+ * The replicated log of a member with its role, term and fence. Each change is
+ * in the journal before the method returns.
+ */
 export class MemberLog {
   private readonly entries: LogEntry[];
   private appliedCount = 0;
@@ -19,32 +22,39 @@
   term: number;
   fencedTerm: number;
   fencedOwner: string;
-  /** Address of the primary that the member follows. */
+  /** Address of the primary that the member follows; empty without one. */
   primary: string;
 
   constructor(private readonly journal: MemberJournal = new VolatileJournal()) {
-    const {entries, standing} = journal.load();
+    const {entries, status} = journal.load();
     this.entries = entries;
-    this.role = standing.role;
-    this.term = standing.term;
-    this.fencedTerm = standing.fencedTerm;
-    this.fencedOwner = standing.fencedOwner;
-    this.primary = standing.primary;
+    this.role = status.role;
+    this.term = status.term;
+    this.fencedTerm = status.fencedTerm;
+    this.fencedOwner = status.fencedOwner;
+    this.primary = status.primary;
   }
 
+  /** Position of the last entry in the log. */
   get received(): LogPosition {
     return positionOf(this.entries[this.entries.length - 1]);
   }
 
+  /** Position of the last entry whose statements are in the data. */
   get applied(): LogPosition {
     return positionOf(this.entries[this.appliedCount - 1]);
   }
 
-  /** Refuses lower terms from now on. Repeating the call changes nothing. */
+  /**
+   * Makes the member refuse lower terms. A repeated call of the same owner is
+   * idempotent.
+   */
   fence(term: number, owner: string): Result<void, MemberError> {
     const repeated = term === this.fencedTerm && owner === this.fencedOwner;
     if (term <= this.fencedTerm && !repeated) {
-      return stale(`fenced at term ${this.fencedTerm} by ${this.fencedOwner}`);
+      return staleTerm(
+        `fenced at term ${this.fencedTerm} by ${this.fencedOwner}`,
+      );
     }
     this.fencedTerm = term;
     this.fencedOwner = owner;
@@ -54,17 +64,16 @@
 
   /**
    * Starts a term as its primary. The term begins with an empty entry, so that
-   * the log ends in the term before any write of it is confirmed.
+   * the log ends in this term before any of its writes is acknowledged.
    */
-
   promote(term: number, owner: string): Result<void, MemberError> {
     if (term !== this.fencedTerm || owner !== this.fencedOwner) {
-      return stale(`not fenced at term ${term} by ${owner}`);
+      return staleTerm(`not fenced at term ${term} by ${owner}`);
     }
     if (this.term === term) {
       return this.isPrimary
         ? ok(undefined)
-        : stale(`follows another primary of term ${term}`);
+        : staleTerm(`follows another primary of term ${term}`);
     }
     this.role = 'primary';
     this.term = term;
@@ -74,9 +83,10 @@
     return ok(undefined);
   }
 
+  /** Becomes a replica of `primary` in `term`. */
   follow(term: number, primary: string): Result<void, MemberError> {
     if (term < this.fencedTerm || (this.isPrimary && term === this.term)) {
-      return stale(`cannot follow term ${term}`);
+      return staleTerm(`cannot follow term ${term}`);
     }
     if (term > this.fencedTerm) {
       this.fencedTerm = term;
@@ -94,18 +104,18 @@
     return this.role === 'primary';
   }
 
-  /** Whether the member may commit writes now. */
+  /** Fails unless the member is a primary that no higher term has fenced. */
   checkWritable(): Result<void, MemberError> {
     if (!this.isPrimary) {
       return fail({kind: 'read-only', detail: 'this member is a replica'});
     }
     if (this.fencedTerm > this.term) {
-      return stale(`fenced at term ${this.fencedTerm}`);
+      return staleTerm(`fenced at term ${this.fencedTerm}`);
     }
     return ok(undefined);
   }
 
-  /** Appends a committed transaction of this primary. */
+  /** Appends a transaction that this primary has committed and applied. */
   append(statements: readonly string[]): LogEntry {
     const entry = this.push(statements);
     this.appliedCount = this.entries.length;
@@ -123,7 +133,10 @@
     return entry;
   }
 
-  /** Answers a replica whose log ends at `end`. */
+  /**
+   * Returns up to `limit` entries after `end`, the last position of a replica's
+   * log, or how much of its log the replica can keep if the logs differ.
+   */
   entriesAfter(end: LogPosition, limit: number): LogReply {
     const same =
       end.position === 0 || this.entries[end.position - 1]?.term === end.term;
@@ -139,13 +152,13 @@
     return {kind: 'diverged', keep: common?.position ?? 0};
   }
 
-  /** Adds entries received from the primary of `term`. */
+  /** Appends entries from the primary of `term`; skips those out of order. */
   receive(
     term: number,
     entries: readonly LogEntry[],
   ): Result<void, MemberError> {
     if (this.isPrimary || term !== this.term || term < this.fencedTerm) {
-      return stale(`replication of term ${term} is refused`);
+      return staleTerm(`replication of term ${term} is refused`);
     }
     const before = this.entries.length;
     for (const entry of entries) {
@@ -157,7 +170,10 @@
     return ok(undefined);
   }
 
-  /** Drops entries after `keep`. Returns whether applied ones were dropped. */
+  /**
+   * Drops the entries after `keep`. If applied entries were among them, the
+   * data must be rebuilt from the log.
+   */
   truncate(keep: number): 'rebuild' | 'unchanged' {
     this.entries.length = Math.min(this.entries.length, keep);
     this.journal.replace(this.entries);
@@ -171,6 +187,7 @@
     return this.entries[this.appliedCount];
   }
 
+  /** Counts the entry of `nextToApply` as applied. */
   markApplied(): void {
     this.appliedCount += 1;
   }
@@ -185,6 +202,6 @@
   return {term: entry?.term ?? 0, position: entry?.position ?? 0};
 }
 
-function stale(detail: string): Result<never, MemberError> {
+function staleTerm(detail: string): Result<never, MemberError> {
   return fail({kind: 'stale-term', detail});
 }
--- a/packages/standins/src/member/member_server.ts
+++ b/packages/standins/src/member/member_server.ts
@@ -29,7 +29,7 @@
 
 type SessionRole = 'pending' | 'data' | 'control';
 
-/** The MySQL front of one stand-in member. */
+/** The MySQL server of one stand-in member. */
 export class MemberServer {
   private readonly server: MysqlServer;
   private readonly slots: PQueue;
@@ -68,7 +68,7 @@
     this.server = new MysqlServer((raw, id) => this.accept(raw, id));
   }
 
-  /** Starts a member and returns the port that it listens on. */
+  /** Starts a member and returns its port, as the requested one may be 0. */
   static async start(
     cfg: MemberConfig,
   ): Promise<{port: number; server: MemberServer}> {
@@ -86,7 +86,7 @@
     return {port, server: member};
   }
 
-  /** Ends the member with all its connections. */
+  /** Stops replication, the servers and all open connections. */
   close(): void {
     this.server.close();
     this.faultServer?.close();
@@ -96,23 +96,23 @@
 
   private accept(raw: RawServerConnection, id: number): void {
     let role: SessionRole = 'pending';
-    let opened: Promise<Result<void, MemberError>> | undefined;
+    let sessionOpened: Promise<Result<void, MemberError>> | undefined;
     const queue = new PQueue({concurrency: 1});
     const connection = new ServerConnection(raw, id, {
       onHandshake: req => {
         const found = this.authenticate(req);
         if (typeof found !== 'string') return found;
         role = found;
-        // The limit covers the control connections of the VMs as well, but
-        // not those of the other members.
-        opened = ask(reply =>
+        // The limit also covers the control connections of the VMs, but not
+        // those of the other members.
+        sessionOpened = ask(reply =>
           this.task.tell({kind: 'open-session', session: id, reply}),
         );
         return undefined;
       },
       onQuery: sql => {
         void queue.add(async () => {
-          const admitted = await opened;
+          const admitted = await sessionOpened;
           const result = admitted?.ok
             ? await this.run(role, id, sql)
             : fail(admitted?.err ?? UNAUTHENTICATED);
--- a/packages/standins/src/member/member_task.ts
+++ b/packages/standins/src/member/member_task.ts
@@ -13,14 +13,15 @@
 import type {Storage} from './storage.js';
 
 const LOCK_TIMEOUT_MS = 2_000;
+/** Entries in one response to a replica. */
 const LOG_BATCH = 500;
 const LOG_END_QUERY =
   'SELECT @@group_role, @@group_term, @@group_entry_term, @@group_position';
 
 type StatementReply = Reply<Result<StatementResult, MemberError>>;
 
-/** A write that waits until another session's transaction ends. */
-interface WaitingWrite {
+/** A write that is blocked by the open write transaction of another session. */
+interface BlockedWrite {
   readonly session: number;
   readonly sql: string;
   readonly reply: StatementReply;
@@ -28,23 +29,29 @@
 }
 
 interface Session {
+  /** `aborted` when a fence has rolled the transaction back. */
   transaction: 'none' | 'open' | 'aborted';
 }
 
+/** The member follows a primary (`follow`) or became one itself (`lead`). */
 export type RoleChange =
   | {readonly kind: 'follow'; readonly term: number; readonly primary: string}
   | {readonly kind: 'lead'};
 
-/** Called when the member starts to follow a primary or becomes one. */
+/** Called after a change of the member's role or of the primary it follows. */
 export type RoleListener = (change: RoleChange) => void;
 
-/** Owns the log, the data and the sessions of one member. */
+/**
+ * Owns the log, the data and the sessions of one member. At most one write
+ * transaction is open at a time; writes of other sessions wait for its end.
+ */
 export class MemberTask extends Task<MemberMessage> {
   private readonly log: MemberLog;
   private readonly sessions = new Map<number, Session>();
-  private waiting: WaitingWrite[] = [];
-  /** The session whose write transaction is open. */
-  private writer: number | undefined;
+  private blockedWrites: BlockedWrite[] = [];
+  /** The session with the open write transaction. */
+  private writerSession: number | undefined;
+  /** Statements that the open write transaction has executed. */
   private written: string[] = [];
   private applyTimer: NodeJS.Timeout | undefined;
 
@@ -53,17 +60,17 @@
     private readonly storage: Storage,
     journal: MemberJournal,
     private readonly faults: MemberFaults,
-    private readonly onRole: RoleListener,
+    private readonly onRoleChange: RoleListener,
   ) {
     super();
     this.log = new MemberLog(journal);
     this.applyAll();
   }
 
-  /** Continues the replication that a restart interrupted. */
+  /** Resumes the replication that a restart interrupted. */
   resume(): void {
     const {term, primary} = this.log;
-    if (primary !== '') this.onRole({kind: 'follow', term, primary});
+    if (primary !== '') this.onRoleChange({kind: 'follow', term, primary});
   }
 
   protected override handle(message: MemberMessage): void {
@@ -81,7 +88,10 @@
         message.reply.answer(ok(this.state()));
         return;
       case 'fence':
-        this.control(this.log.fence(message.term, message.owner), message);
+        this.replyWithState(
+          this.log.fence(message.term, message.owner),
+          message,
+        );
         if (!this.log.checkWritable().ok) this.abortWriter();
         return;
       case 'promote':
@@ -94,7 +104,7 @@
         message.reply.answer(this.readLog(message.term, message.end));
         return;
       case 'replicated':
-        this.replicated(message.term, message.log);
+        this.applyLogReply(message.term, message.log);
         message.reply.answer(this.log.received);
         return;
       case 'apply-next':
@@ -104,7 +114,7 @@
   }
 
   protected override onFailure(err: unknown): void {
-    console.error(`member ${this.cfg.name}: ${String(err)}`);
+    console.error(`member ${this.cfg.name} failed: ${String(err)}`);
   }
 
   private openSession(id: number): Result<void, MemberError> {
@@ -120,12 +130,12 @@
 
   private closeSession(id: number): void {
     this.sessions.delete(id);
-    this.waiting = this.waiting.filter(write => {
+    this.blockedWrites = this.blockedWrites.filter(write => {
       if (write.session !== id) return true;
       clearTimeout(write.timer);
       return false;
     });
-    if (this.writer === id) this.endWrite('rollback');
+    if (this.writerSession === id) this.endWrite('rollback');
   }
 
   private statement(id: number, sql: string, reply: StatementReply): void {
@@ -133,7 +143,7 @@
     if (!session) return;
     const keyword = leadingKeyword(sql);
     if (keyword === 'BEGIN' || keyword === 'START') {
-      if (this.writer === id) this.endWrite('commit');
+      if (this.writerSession === id) this.endWrite('commit');
       session.transaction = 'open';
       reply.answer(ok(DONE));
     } else if (keyword === 'COMMIT' || keyword === 'ROLLBACK') {
@@ -151,13 +161,13 @@
     id: number,
     sql: string,
   ): Result<StatementResult, MemberError> {
-    if (stripped(sql) === LOG_END_QUERY) return ok(this.logEnd());
-    return this.writer === id
+    if (withoutComments(sql) === LOG_END_QUERY) return ok(this.selectLogEnd());
+    return this.writerSession === id
       ? this.storage.readUncommitted(sql)
       : this.storage.read(sql);
   }
 
-  private logEnd(): StatementResult {
+  private selectLogEnd(): StatementResult {
     const {role, term, received} = this.log;
     return toRowsResult(
       ['group_role', 'group_term', 'group_entry_term', 'group_position'],
@@ -171,18 +181,20 @@
       reply.answer(writable);
       return;
     }
-    if (this.writer !== undefined && this.writer !== id) {
+    if (this.writerSession !== undefined && this.writerSession !== id) {
       const timer = setTimeout(() => {
-        this.waiting = this.waiting.filter(item => item.reply !== reply);
+        this.blockedWrites = this.blockedWrites.filter(
+          item => item.reply !== reply,
+        );
         reply.answer(
           fail({kind: 'lock-timeout', detail: 'Lock wait timeout exceeded'}),
         );
       }, LOCK_TIMEOUT_MS);
-      this.waiting.push({session: id, sql, reply, timer});
+      this.blockedWrites.push({session: id, sql, reply, timer});
       return;
     }
-    if (this.writer === undefined) {
-      this.writer = id;
+    if (this.writerSession === undefined) {
+      this.writerSession = id;
       this.storage.begin();
     }
     const result = this.storage.write(sql);
@@ -203,7 +215,7 @@
     if (keyword === 'COMMIT' && aborted) {
       return readOnly('the transaction was rolled back');
     }
-    if (this.writer === id) {
+    if (this.writerSession === id) {
       this.endWrite(keyword === 'COMMIT' ? 'commit' : 'rollback');
     }
     return ok(DONE);
@@ -216,26 +228,28 @@
     } else {
       this.storage.rollback();
     }
-    this.writer = undefined;
+    this.writerSession = undefined;
     this.written = [];
-    // After a fence all of them are refused, so none waits for its timeout.
-    while (this.writer === undefined) {
-      const next = this.waiting.shift();
+    // Blocked writes run now. After a fence each of them is refused at once
+    // instead of waiting for its timeout.
+    while (this.writerSession === undefined) {
+      const next = this.blockedWrites.shift();
       if (!next) return;
       clearTimeout(next.timer);
       this.write(next.session, next.sql, next.reply);
     }
   }
 
-  /** Rolls back the open write transaction after a fence. */
+  /** Rolls back the open write transaction, which a fence or a new role ended. */
   private abortWriter(): void {
-    if (this.writer === undefined) return;
-    const session = this.sessions.get(this.writer);
+    if (this.writerSession === undefined) return;
+    const session = this.sessions.get(this.writerSession);
     if (session) session.transaction = 'aborted';
     this.endWrite('rollback');
   }
 
-  private control(
+  /** Replies to a control call with the state that it led to. */
+  private replyWithState(
     result: Result<void, MemberError>,
     message: {readonly reply: Reply<Result<MemberState, MemberError>>},
   ): void {
@@ -248,12 +262,12 @@
     reply: Reply<Result<MemberState, MemberError>>,
   ): void {
     const result = this.log.promote(term, owner);
-    // A primary must not commit on top of entries that it has not applied.
+    // A primary must apply all received entries before it commits new ones.
     if (result.ok) {
       this.applyAll();
-      this.onRole({kind: 'lead'});
+      this.onRoleChange({kind: 'lead'});
     }
-    this.control(result, {reply});
+    this.replyWithState(result, {reply});
   }
 
   private follow(
@@ -261,7 +275,7 @@
     primary: string,
     reply: Reply<Result<MemberState, MemberError>>,
   ): void {
-    // A repeated order must not interrupt the replication that it started.
+    // A repeated call must not interrupt the replication that is running.
     const repeated =
       !this.log.isPrimary &&
       this.log.term === term &&
@@ -269,9 +283,9 @@
     const result = this.log.follow(term, primary);
     if (result.ok && !repeated) {
       this.abortWriter();
-      this.onRole({kind: 'follow', term, primary});
+      this.onRoleChange({kind: 'follow', term, primary});
     }
-    this.control(result, {reply});
+    this.replyWithState(result, {reply});
   }
 
   private readLog(
@@ -284,7 +298,7 @@
     return ok(this.log.entriesAfter(end, LOG_BATCH));
   }
 
-  private replicated(term: number, reply: LogReply): void {
+  private applyLogReply(term: number, reply: LogReply): void {
     if (reply.kind === 'diverged') {
       if (this.log.isPrimary || this.log.term !== term) return;
       if (this.log.truncate(reply.keep) === 'rebuild') {
@@ -338,10 +352,11 @@
   return fail({kind: 'read-only', detail});
 }
 
-function stripped(sql: string): string {
+/** Removes comments and surrounding blanks. */
+function withoutComments(sql: string): string {
   return sql.replace(/\/\*[\s\S]*?\*\//g, ' ').trim();
 }
 
 function leadingKeyword(sql: string): string {
-  return /^[A-Za-z]+/.exec(stripped(sql))?.[0].toUpperCase() ?? '';
+  return /^[A-Za-z]+/.exec(withoutComments(sql))?.[0].toUpperCase() ?? '';
 }
--- a/packages/standins/src/member/replication_task.ts
+++ b/packages/standins/src/member/replication_task.ts
@@ -12,13 +12,17 @@
 import type {LogPosition} from '@pistachiorill/core';
 
 const CALL_TIMEOUT_MS = 1_000;
-const RETRY_MS = 50;
-const POLL_MS = 2;
+const RETRY_DELAY_MS = 50;
+const POLL_INTERVAL_MS = 2;
 
+/** A role change, or the next fetch of the replication it belongs to. */
 export type ReplicationMessage =
   RoleChange | {readonly kind: 'pull'; readonly generation: number};
 
-/** Fetches the primary's log and hands it to the member. */
+/**
+ * Polls the primary's log and sends new entries to the member's task. Each
+ * role change starts a new generation; pulls of older ones are ignored.
+ */
 export class ReplicationTask extends Task<ReplicationMessage> {
   private connection: BackendConnection | undefined;
   private primary = '';
@@ -26,7 +30,7 @@
   private end: LogPosition = {term: 0, position: 0};
   private generation = 0;
   private timer: NodeJS.Timeout | undefined;
-  /** Ends the wait of a running pull. */
+  /** Makes a running pull fail immediately. */
   private interrupt: () => void = () => undefined;
 
   constructor(
@@ -39,8 +43,8 @@
   }
 
   /**
-   * Changes the role without waiting for a pull from the former primary, which
-   * may hang until its timeout.
+   * Changes the role. A running pull is interrupted, as one from an unresponsive
+   * former primary would block until its timeout.
    */
   change(change: RoleChange): void {
     this.interrupt();
@@ -68,12 +72,12 @@
       this.interrupt = () => resolve('failed');
     });
     const pulled = await this.pull(interrupted);
-    this.schedule(pulled === 'failed' ? RETRY_MS : POLL_MS);
+    this.schedule(pulled === 'failed' ? RETRY_DELAY_MS : POLL_INTERVAL_MS);
   }
 
   protected override onFailure(err: unknown): void {
-    console.error(`replication of ${this.name}: ${String(err)}`);
-    this.schedule(RETRY_MS);
+    console.error(`replication of ${this.name} failed: ${String(err)}`);
+    this.schedule(RETRY_DELAY_MS);
   }
 
   private schedule(delayMs: number): void {
@@ -114,7 +118,7 @@
         CALL_TIMEOUT_MS,
       );
       if (!opened.ok) return opened;
-      // The member changed its role meanwhile.
+      // The role changed while the connection was opened.
       if (generation !== this.generation) {
         opened.value.close();
         return fail({kind: 'lost', detail: 'replication was interrupted'});
--- a/packages/standins/src/member/rows_result.ts
+++ b/packages/standins/src/member/rows_result.ts
@@ -7,7 +7,7 @@
 
 type Value = number | string | Uint8Array | null;
 
-/** Builds a text result from the values of a query. */
+/** Builds a MySQL text result set; column types follow from the values. */
 export function toRowsResult(
   names: readonly string[],
   rows: ReadonlyArray<readonly Value[]>,
--- a/packages/standins/src/member/storage.ts
+++ b/packages/standins/src/member/storage.ts
@@ -6,9 +6,9 @@
 import {toRowsResult} from './rows_result.js';
 
 /**
- * The data of a member, kept twice: `committed` serves reads, `working` holds
- * the changes of the one open write transaction. A transaction becomes visible
- * to others only at its commit.
+ * The data of a member in two copies: `committed` serves reads, `working` also
+ * holds the changes of the one open write transaction. Other sessions see a
+ * transaction only after its commit.
  */
 export class Storage {
   private committed: Database;
@@ -23,16 +23,17 @@
     return new Storage(await initSqlJs());
   }
 
-  /** Runs a statement on the committed data. */
+  /** Reads the committed data. */
   read(sql: string): Result<StatementResult, MemberError> {
     return run(this.committed, sql);
   }
 
-  /** Runs a statement inside the open write transaction. */
+  /** Reads inside the open write transaction, including its own changes. */
   readUncommitted(sql: string): Result<StatementResult, MemberError> {
     return run(this.working, sql);
   }
 
+  /** Opens the write transaction. */
   begin(): void {
     this.working.run('BEGIN');
   }
@@ -42,17 +43,18 @@
     return run(this.working, sql);
   }
 
+  /** Discards the open write transaction. */
   rollback(): void {
     this.working.run('ROLLBACK');
   }
 
-  /** Makes the open write transaction visible. */
+  /** Commits the write transaction and repeats its statements for readers. */
   commit(statements: readonly string[]): void {
     this.working.run('COMMIT');
     for (const sql of statements) run(this.committed, sql);
   }
 
-  /** Applies a replicated transaction. */
+  /** Applies a replicated transaction to both copies. */
   apply(statements: readonly string[]): void {
     for (const sql of statements) {
       run(this.working, sql);
@@ -60,7 +62,7 @@
     }
   }
 
-  /** Removes all data. */
+  /** Removes all data, before it is rebuilt from the log. */
   reset(): void {
     this.committed.close();
     this.working.close();
--- a/packages/standins/src/platform/__tests__/platform_contract.test.ts
+++ b/packages/standins/src/platform/__tests__/platform_contract.test.ts
@@ -19,7 +19,7 @@
   beforeAll(async () => {
     const {port, server} = await PlatformServer.start('127.0.0.1', 0);
     platform = server;
-    // Shorter than the delay of the fault `slow`.
+    // The timeout is shorter than the delay of the fault `slow`.
     endpoint = {baseUrl: `http://127.0.0.1:${port}`, timeoutMs: 300};
   });
   afterAll(() => platform.close());
@@ -31,39 +31,39 @@
     });
   }
 
-  function shown(result: Result<unknown, {kind: string}>): unknown {
+  function outcomeOf(result: Result<unknown, {kind: string}>): unknown {
     return result.ok ? (result.value ?? 'done') : result.err.kind;
   }
 
-  // Guards against a conditional write that overwrites another one.
-  it('writes a row only on the version that is expected', async () => {
+  // Guards against a conditional write that overwrites a concurrent one.
+  it('writes a row only if its version matches', async () => {
     const table = new HttpTableService(patient());
     expect([
-      shown(await table.read('row')),
-      shown(await table.write('row', 'a', 0)),
-      shown(await table.write('row', 'b', 0)),
-      shown(await table.write('row', 'b', 1)),
-      shown(await table.read('row')),
-      shown(await table.list('ro')),
+      outcomeOf(await table.read('row')),
+      outcomeOf(await table.write('row', 'a', 0)),
+      outcomeOf(await table.write('row', 'b', 0)),
+      outcomeOf(await table.write('row', 'b', 1)),
+      outcomeOf(await table.read('row')),
+      outcomeOf(await table.list('ro')),
     ]).toMatchSnapshot();
   });
 
-  // Guards against a lost answer that is taken for a write that did not happen,
-  // and an outage that is taken for one that may have.
-  it.each(FAULTS)('tells what a write did under %s', async fault => {
+  // Guards against a lost response that is reported as a write that was not
+  // executed, and an outage that is reported as one that may have been.
+  it.each(FAULTS)('reports the outcome of a write under %s', async fault => {
     const table = new HttpTableService(endpoint);
     const objects = new HttpObjectStore(endpoint);
     await setFault(fault);
     const during = {
-      write: shown(await table.write(`fault-${fault}`, 'a', 0)),
-      read: shown(await table.read('row')),
-      put: shown(await objects.put(`fault-${fault}`, 'body')),
-      vms: shown(await new HttpVmList(endpoint).read()),
+      write: outcomeOf(await table.write(`fault-${fault}`, 'a', 0)),
+      read: outcomeOf(await table.read('row')),
+      put: outcomeOf(await objects.put(`fault-${fault}`, 'body')),
+      vms: outcomeOf(await new HttpVmList(endpoint).read()),
     };
     await setFault('none');
-    // A slow write takes effect after its caller stopped waiting.
+    // A slow write is executed after its caller has timed out.
     if (fault === 'slow') await new Promise(r => setTimeout(r, 1_200));
-    const after = shown(
+    const after = outcomeOf(
       await new HttpTableService(patient()).read(`fault-${fault}`),
     );
     expect({during, after}).toMatchSnapshot();
--- a/packages/standins/src/platform/handle_request.ts
+++ b/packages/standins/src/platform/handle_request.ts
@@ -1,19 +1,25 @@
 import type {ListedVm} from '@pistachiorill/store';
 import type {FaultMode, PlatformState} from './platform_state.js';
 
+/** The parts of an HTTP request that the platform evaluates. */
 export interface PlatformRequest {
   readonly method: string;
   readonly url: URL;
+  /** The row version that a write expects; 0 for a row that does not exist. */
   readonly ifMatch: string | undefined;
   readonly body: string;
 }
 
+/** The status code and body of an HTTP response. */
 export interface PlatformAnswer {
   readonly status: number;
   readonly body: string;
 }
 
-/** Executes one request against the platform's state. */
+/**
+ * Executes one request to the table service, the object store, the VM list or
+ * the fault settings.
+ */
 export function handleRequest(
   req: PlatformRequest,
   state: PlatformState,
--- a/packages/standins/src/platform/platform_server.ts
+++ b/packages/standins/src/platform/platform_server.ts
@@ -4,7 +4,7 @@
 import {handleRequest} from './handle_request.js';
 import {createPlatformState} from './platform_state.js';
 
-/** The HTTP front of the stand-in platform. */
+/** The HTTP server of the stand-in platform. */
 export class PlatformServer {
   private readonly state = createPlatformState();
   private readonly server: Server;
@@ -15,7 +15,7 @@
     });
   }
 
-  /** Starts the platform and returns the port that it listens on. */
+  /** Starts the platform and returns its port, as the requested one may be 0. */
   static start(
     host: string,
     port: number,
@@ -33,6 +33,7 @@
     });
   }
 
+  /** Stops the server and closes all connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/packages/standins/src/platform/platform_state.ts
+++ b/packages/standins/src/platform/platform_state.ts
@@ -1,25 +1,29 @@
 import type {ListedVm, Row} from '@pistachiorill/store';
 
-/** How the stand-in answers at present. */
+/** How the stand-in platform responds to requests. */
 export type FaultMode =
-  /** Answers at once. */
+  /** Responds without delay. */
   | 'none'
-  /** Refuses without executing. */
+  /** Responds with status 503 and executes nothing. */
   | 'outage'
-  /** Executes, then drops the connection in place of an answer. */
+  /** Executes the request, then closes the connection without a response. */
   | 'lost-answers'
-  /** Answers after a delay. */
+  /** Executes the request and responds after a delay of `slowMs`. */
   | 'slow';
 
-/** What the platform keeps. */
+/** The stored data and the fault settings of the platform. */
 export interface PlatformState {
+  /** Rows of the table service, by key. */
   readonly rows: Map<string, Row>;
+  /** Bodies in the object store, by name. */
   readonly objects: Map<string, string>;
+  /** The list of VMs that the platform publishes. */
   vms: readonly ListedVm[];
   fault: FaultMode;
   slowMs: number;
 }
 
+/** Returns the state of an empty platform without faults. */
 export function createPlatformState(): PlatformState {
   return {
     rows: new Map(),
--- a/scripts/build_executable.mjs
+++ b/scripts/build_executable.mjs
@@ -1,6 +1,7 @@
 /**
- * Builds `build/pistachiorill`, one executable that needs no installed Node.js
- * and no packages, from this Node.js and the bundled program.
+ * Builds `build/pistachiorill`, a single executable application: a copy of the
+ * running Node.js with the bundled program embedded. It needs neither an
+ * installed Node.js nor any packages.
  */
 import {execFileSync} from 'node:child_process';
 import {
@@ -18,7 +19,7 @@
 const BLOB = `${FOLDER}/pistachiorill.blob`;
 const CONFIG = `${FOLDER}/sea.json`;
 const TARGET = 'build/pistachiorill';
-/** The marker that Node.js searches for in its own file. */
+/** The marker by which Node.js detects an embedded program in its executable. */
 const SENTINEL_FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
 mkdirSync(FOLDER, {recursive: true});
@@ -29,11 +30,12 @@
   bundle: true,
   platform: 'node',
   target: 'node20',
-  // The embedded program must be CommonJS.
+  // Node.js runs embedded programs only as CommonJS.
   format: 'cjs',
   external: ['dtrace-provider'],
   define: {'import.meta.url': 'moduleUrl'},
-  // The embedded `require` knows built-in modules only and prints a warning.
+  // The `require` of an embedded program loads only built-in modules and prints
+  // a warning, so the banner replaces it. CommonJS has no `import.meta.url`.
   banner: {
     js: "require = require('node:module').createRequire(process.execPath); const moduleUrl = require('node:url').pathToFileURL(process.execPath).href;",
   },
--- a/scripts/build_gateway.mjs
+++ b/scripts/build_gateway.mjs
@@ -1,4 +1,4 @@
-/** Bundles the gateway into one file for the machines of the platform. */
+/** Bundles the gateway into one file that is deployed to the platform's VMs. */
 import {build} from 'esbuild';
 
 await build({
@@ -10,7 +10,7 @@
   format: 'esm',
   minify: true,
   external: ['dtrace-provider', 'mv', 'safe-json-stringify'],
-  // CommonJS dependencies call `require`, which ES modules lack.
+  // CommonJS dependencies call `require`, which ES modules don't define.
   banner: {
     js: "import {createRequire as createBundleRequire} from 'node:module'; const require = createBundleRequire(import.meta.url);",
   },
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,7 @@
-/** Bundles the programs that the demo, the experiments and the tests start. */
+/**
+ * Bundles the programs into `build`, each into one file: the proxy, the
+ * stand-ins, the demo, the experiments, the soak test and the measurements.
+ */
 import {build} from 'esbuild';
 
 const PROGRAMS = {
@@ -23,7 +26,7 @@
   target: 'node20',
   format: 'esm',
   external: ['canvas', 'dtrace-provider', 'sql.js'],
-  // CommonJS dependencies call `require`, which ES modules lack.
+  // CommonJS dependencies call `require`, which ES modules don't define.
   banner: {
     js: "import {createRequire as createBundleRequire} from 'node:module'; const require = createBundleRequire(import.meta.url);",
   },
--- a/soak/src/__tests__/soak.test.ts
+++ b/soak/src/__tests__/soak.test.ts
@@ -8,8 +8,8 @@
 
 const ROOT = join(import.meta.dirname, '../../..');
 
-/** Seeds that once broke a promise, each with a line on the cause. */
-const REGRESSIONS: ReadonlyArray<readonly [number, string]> = [
+/** Seeds that once found a violation, each with its cause. */
+const REGRESSION_SEEDS: ReadonlyArray<readonly [number, string]> = [
   [10, 'a stand-in showed fewer commits after a promotion than before'],
 ];
 
@@ -34,14 +34,14 @@
     return violations;
   }
 
-  // Guards against promises that hold only while nothing fails.
-  it('keeps its promises in a short run', async () => {
+  // Guards against guarantees that hold only without faults.
+  it('finds no violation in a short run with faults', async () => {
     const size = {lengthMs: 9_000, vms: 3, callers: 6};
     expect(await violationsOf(3, size)).toEqual([]);
   });
 
-  // Guards against the return of what a seed once found.
-  it.each(REGRESSIONS)('seed %i: %s', async seed => {
+  // Guards against regressions that these seeds have found before.
+  it.each(REGRESSION_SEEDS)('seed %i: %s', async seed => {
     const size = {lengthMs: 12_000, vms: 4, callers: 10};
     expect(await violationsOf(seed, size)).toEqual([]);
   });
--- a/soak/src/checks/__tests__/check_history.test.ts
+++ b/soak/src/checks/__tests__/check_history.test.ts
@@ -67,8 +67,8 @@
   };
 }
 
-/** Two writes that were acknowledged and one read that sees both. */
-function keptHistory(): History {
+/** A history without violations: two acknowledged writes and a read of both. */
+function historyWithoutViolations(): History {
   const history = newHistory();
   history.commits.push(FIRST, SECOND);
   history.runs.push(
@@ -120,9 +120,9 @@
 }
 
 const CASES: ReadonlyArray<readonly [string, Change]> = [
-  ['every promise kept', () => undefined],
+  ['a history without violations', () => undefined],
   [
-    'an answer that no member gave',
+    'an answer that no member returned',
     history => {
       const answer = {signature: 'other', rows: []};
       changeRun(history, 'r1', {answer});
@@ -136,13 +136,13 @@
     },
   ],
   [
-    'a write with two effects',
+    'a write that was committed twice',
     history => {
       history.commits.push({...FIRST, number: 3, previous: SECOND});
     },
   ],
   [
-    'a write that was refused',
+    'a refused write that was committed',
     history => changeOperation(history, 0, {outcome: 'nothing-kept'}),
   ],
   [
@@ -184,7 +184,7 @@
     },
   ],
   [
-    'a statement that nobody sent',
+    'a statement that no caller sent',
     history => changeRun(history, 'r1', {text: 'READ other'}),
   ],
   [
@@ -207,9 +207,12 @@
       );
     },
   ],
-  ['a key at a member', history => void history.callersAtMembers.add('key-1')],
   [
-    'one fencing number of two holders',
+    'a key received by a member',
+    history => void history.callersAtMembers.add('key-1'),
+  ],
+  [
+    'a fencing number used by two holders',
     history => {
       for (const holder of ['vm-1', 'vm-2']) {
         history.promotions.push({
@@ -224,30 +227,30 @@
     },
   ],
   [
-    'a withdrawn key',
+    'a withdrawn key that is served',
     history => {
       changeOperation(history, 2, {startedAt: 4_000, endedAt: 4_010});
       return {withdrawnAt: new Map([['key-1', 500]])};
     },
   ],
   [
-    'a withdrawn key at a VM that could not know',
+    'a withdrawn key at a VM that cannot receive the update',
     history => {
       changeOperation(history, 2, {startedAt: 4_000, endedAt: 4_010});
       return {withdrawnAt: new Map([['key-1', 500]]), isCalm: () => false};
     },
   ],
   [
-    'no service at the end',
+    'no successful operation at the end',
     history => changeOperation(history, 2, {outcome: 'unknown'}),
   ],
 ];
 
 describe('checkHistory', () => {
-  // Guards against a soak that passes because a check sees nothing, and
-  // against one that calls an allowed case a fault.
+  // Guards against a check that misses a violation, and against one that
+  // reports an allowed case.
   it.each(CASES)('%s', (unusedName, change) => {
-    const history = keptHistory();
+    const history = historyWithoutViolations();
     const context = {...CONTEXT, ...change(history)};
     expect(checkHistory(history, context)).toMatchSnapshot();
   });
--- a/soak/src/checks/check_history.ts
+++ b/soak/src/checks/check_history.ts
@@ -11,37 +11,56 @@
   Run,
 } from '@pistachiorill/platform/standins';
 
-/** Which promise was broken. */
+/** Which guarantee of the gateway a history violates. */
 export type BrokenPromise =
+  /** A response differs from what the members returned for the statement. */
   | 'answer-not-from-member'
+  /** The data of one write was committed more than once. */
   | 'write-twice'
+  /** A write was reported as not executed, but it was committed. */
   | 'refused-but-kept'
+  /** An acknowledged write was committed after a promotion to a higher term. */
   | 'acknowledged-by-former-primary'
+  /** A read lacks a commit that its consistency level requires. */
   | 'stale-read'
+  /** A member executed a statement that no caller sent, or another text. */
   | 'statement-not-sent'
+  /** The statements of a transaction ran in more than one transaction. */
   | 'transaction-torn'
+  /** A statement ran with the session variables of another session. */
   | 'values-of-another-session'
+  /** A member received the key of a caller. */
   | 'key-at-member'
+  /** Fencing numbers of promotions decreased or were used by two VMs. */
   | 'orders-out-of-order'
+  /** A VM served a withdrawn key after the time allowed for its update. */
   | 'withdrawn-key-served'
+  /** Too few operations succeeded after the last fault. */
   | 'no-recovery';
 
+/** One violation of a guarantee. */
 export interface Violation {
+  /** The violated guarantee. */
   readonly promise: BrokenPromise;
   readonly detail: string;
 }
 
-/** What a check needs beside the history. */
+/** The facts about a run that its history does not contain. */
 export interface CheckContext {
-  /** The newest commit of each group's primary at the end. */
+  /** The last commit of each group's primary at the end of the run. */
   readonly ends: ReadonlyMap<string, Commit | undefined>;
+  /** When each withdrawn key was withdrawn. */
   readonly withdrawnAt: ReadonlyMap<string, number>;
-  /** Whether no VM was kept from the store, or stood still, in a time. */
+  /**
+   * Whether no fault stopped or paused a VM, or disturbed its access to the
+   * store, during the interval.
+   */
   readonly isCalm: (fromMs: number, toMs: number) => boolean;
+  /** The share of operations after `fromMs` that must succeed. */
   readonly recovery: {readonly fromMs: number; readonly leastShare: number};
 }
 
-/** Looks for broken promises in what callers and members saw. */
+/** Finds the violations in the recorded operations of callers and members. */
 export function checkHistory(
   history: History,
   context: CheckContext,
@@ -52,15 +71,15 @@
     ...history.operations.flatMap(operation => [
       ...checkAnswers(operation, runs),
       ...checkTransaction(operation, runs),
-      ...checkKept(operation, commits),
+      ...checkRefusedWrites(operation, commits),
       ...checkFormerPrimary(operation, commits, history),
-      ...checkKey(operation, context),
+      ...checkWithdrawnKey(operation, context),
     ]),
-    ...checkTwice(commits),
-    ...checkSent(history),
-    ...checkStale(history, runs, commits, context),
-    ...checkOrders(history),
-    ...checkMembers(history),
+    ...checkDuplicates(commits),
+    ...checkStatementTexts(history),
+    ...checkStaleReads(history, runs, commits, context),
+    ...checkPromotionOrder(history),
+    ...checkKeysAtMembers(history),
     ...checkRecovery(history, context),
   ];
 }
@@ -80,12 +99,12 @@
 function checkAnswers({statements}: Operation, runs: ById<Run>): Violation[] {
   return statements.flatMap(({id, answer}) => {
     if (!answer) return [];
-    const isMembers = (runs.get(id) ?? []).some(
+    const isFromMember = (runs.get(id) ?? []).some(
       run =>
         run.answer.signature === answer.signature &&
         run.answer.rows.join() === answer.rows.join(),
     );
-    return isMembers ? [] : [violation('answer-not-from-member', id)];
+    return isFromMember ? [] : [violation('answer-not-from-member', id)];
   });
 }
 
@@ -106,18 +125,19 @@
     }
   }
   if (kind !== 'transaction' || outcome !== 'success') return found;
-  const places = new Set(
+  const transactions = new Set(
     answered.map(run => `${run.connection}/${run.transaction}`),
   );
-  const isWhole = places.size === 1 && answered[0]?.transaction !== 0;
-  if (!isWhole) {
-    const detail = `${session}: ${[...places].join(' ')}`;
+  const isSingleTransaction =
+    transactions.size === 1 && answered[0]?.transaction !== 0;
+  if (!isSingleTransaction) {
+    const detail = `${session}: ${[...transactions].join(' ')}`;
     found.push(violation('transaction-torn', detail));
   }
   return found;
 }
 
-function checkKept(
+function checkRefusedWrites(
   {outcome, data, detail}: Operation,
   commits: ById<Commit>,
 ): Violation[] {
@@ -146,26 +166,26 @@
   });
 }
 
-function checkKey(
+function checkWithdrawnKey(
   {outcome, key, startedAt}: Operation,
   {withdrawnAt, isCalm}: CheckContext,
 ): Violation[] {
   const withdrawn = withdrawnAt.get(key) ?? Infinity;
   if (outcome !== 'success') return [];
   if (startedAt < withdrawn + CONFIGURATION_BOUND_MS) return [];
-  // A VM that cannot learn of it may serve the key for longer.
+  // A VM that cannot receive the update may serve the key for longer.
   if (!isCalm(withdrawn, startedAt)) return [];
   const lateMs = Math.round(startedAt - withdrawn);
   return [violation('withdrawn-key-served', `${key} after ${lateMs} ms`)];
 }
 
-function checkTwice(commits: ById<Commit>): Violation[] {
+function checkDuplicates(commits: ById<Commit>): Violation[] {
   return [...commits].flatMap(([data, found]) =>
     found.length > 1 ? [violation('write-twice', data)] : [],
   );
 }
 
-function checkSent({operations, runs}: History): Violation[] {
+function checkStatementTexts({operations, runs}: History): Violation[] {
   const sent = new Map(
     operations.flatMap(({statements}) =>
       statements.map(({id, text}) => [id, text] as const),
@@ -178,14 +198,14 @@
   );
 }
 
-/** How old the commits of others may be that a read lacks. */
-const AGES: Readonly<Record<DatabaseKind, number>> = {
+/** How old commits of other sessions may be that a read does not return. */
+const MAX_READ_AGE_MS: Readonly<Record<DatabaseKind, number>> = {
   strict: 0,
   own: MAX_AGE_MS,
   bounded: MAX_AGE_MS,
 };
 
-function checkStale(
+function checkStaleReads(
   {operations}: History,
   runs: ById<Run>,
   commits: ById<Commit>,
@@ -195,7 +215,7 @@
     .filter(item => item.outcome === 'success' && item.data !== undefined)
     .flatMap(({data, endedAt, session}) =>
       (commits.get(data ?? '') ?? [])
-        // What a promotion rolled back is not missed.
+        // A read need not return a commit that a promotion rolled back.
         .filter(commit => isInLog(commit, ends.get(commit.group)))
         .map(commit => ({commit, endedAt, session})),
     );
@@ -204,7 +224,7 @@
     const needed = acknowledged.filter(
       ({commit, endedAt, session: writer}) =>
         commit.group === group &&
-        (endedAt < startedAt - AGES[database] ||
+        (endedAt < startedAt - MAX_READ_AGE_MS[database] ||
           (database === 'own' && writer === session && endedAt < startedAt)),
     );
     const newest = needed
@@ -226,21 +246,25 @@
   });
 }
 
-function checkOrders({promotions}: History): Violation[] {
+function checkPromotionOrder({promotions}: History): Violation[] {
   const holders = new Map<number, string>();
   let highest = 0;
   return promotions.flatMap(({fence, holder, member}) => {
-    const known = holders.get(fence);
-    const isWrong = fence < highest || (known ?? holder) !== holder;
+    const recordedHolder = holders.get(fence);
+    const isOutOfOrder =
+      fence < highest || (recordedHolder ?? holder) !== holder;
     holders.set(fence, holder);
     highest = Math.max(highest, fence);
-    if (!isWrong) return [];
+    if (!isOutOfOrder) return [];
     const detail = `${member} by ${holder}, ${fence}`;
     return [violation('orders-out-of-order', detail)];
   });
 }
 
-function checkMembers({callersAtMembers, operations}: History): Violation[] {
+function checkKeysAtMembers({
+  callersAtMembers,
+  operations,
+}: History): Violation[] {
   const keys = new Set(operations.map(item => item.key));
   return [...callersAtMembers]
     .filter(name => keys.has(name))
--- a/soak/src/clients/caller.ts
+++ b/soak/src/clients/caller.ts
@@ -19,16 +19,17 @@
   SentStatement,
 } from '@pistachiorill/platform/standins';
 
-/** Operations after which a caller opens another session. */
+/** The caller opens a new session after this many operations. */
 const OPERATIONS_PER_SESSION = 25;
 const MAX_PAUSE_MS = 60;
-const RECONNECT_MS = 100;
-const ITEMS = 20;
+const RECONNECT_DELAY_MS = 100;
+const ITEM_COUNT = 20;
 
+/** The settings and collaborators of a caller. */
 export interface CallerTools {
   readonly name: string;
   readonly groups: readonly string[];
-  /** Addresses of the VMs. */
+  /** Addresses of the VMs, one of which each session connects to. */
   readonly addresses: readonly string[];
   readonly random: Random;
   readonly clock: () => number;
@@ -43,30 +44,34 @@
   readonly key: string;
 }
 
-/** A caller that works until it is stopped, one session after the other. */
+/** Runs random operations in consecutive sessions and records them. */
 export class Caller {
+  /** Number of sessions opened so far; the last part of a session's id. */
   private sessions = 0;
+  /** Number of statements sent so far; the last part of a statement's id. */
   private statements = 0;
   private phase: 'running' | 'stopped' = 'running';
 
-  constructor(private readonly tools: CallerTools) {}
+  constructor(private readonly deps: CallerTools) {}
 
+  /** Runs until `stop` is called, and reconnects after lost connections. */
   async run(): Promise<void> {
     while (this.isRunning()) {
       const session = await this.open();
       if (!session) {
-        await sleep(RECONNECT_MS);
+        await sleep(RECONNECT_DELAY_MS);
         continue;
       }
       for (let i = 0; i < OPERATIONS_PER_SESSION; i++) {
         if (!this.isRunning() || !session.client.isOpen) break;
-        await this.operate(session);
-        await sleep(this.tools.random.integer(0, MAX_PAUSE_MS));
+        await this.runOperation(session);
+        await sleep(this.deps.random.integer(0, MAX_PAUSE_MS));
       }
       session.client.close();
     }
   }
 
+  /** Ends `run` after the current operation. */
   stop(): void {
     this.phase = 'stopped';
   }
@@ -76,11 +81,11 @@
   }
 
   private async open(): Promise<CallerSession | undefined> {
-    const id = `${this.tools.name}.${++this.sessions}`;
-    const group = this.pick(this.tools.groups);
+    const id = `${this.deps.name}.${++this.sessions}`;
+    const group = this.pick(this.deps.groups);
     const database = this.pick(DATABASES);
-    const key = keyOf(this.pick(WORKSPACES), this.tools.random.integer(1, 2));
-    const address = this.pick(this.tools.addresses);
+    const key = keyOf(this.pick(WORKSPACES), this.deps.random.integer(1, 2));
+    const address = this.pick(this.deps.addresses);
     const name = databaseName(group, database);
     const client = await LineClient.open(address, name, key);
     if (!client) return undefined;
@@ -94,43 +99,61 @@
     return undefined;
   }
 
-  private async operate(session: CallerSession): Promise<void> {
-    const roll = this.tools.random.fraction();
+  private async runOperation(session: CallerSession): Promise<void> {
+    const roll = this.deps.random.fraction();
     if (roll < 0.45) await this.read(session);
     else if (roll < 0.7) await this.write(session);
-    else await this.transact(session);
+    else await this.runTransaction(session);
   }
 
   private async read(session: CallerSession): Promise<void> {
-    const startedAt = this.tools.clock();
-    const item = this.item();
-    const isPrepared = this.tools.random.fraction() < 0.5;
+    const startedAt = this.deps.clock();
+    const item = this.randomItem();
+    const isPrepared = this.deps.random.fraction() < 0.5;
     const kind = isPrepared ? 'read-prepared' : 'read';
     const [statement, answer] = await this.send(session, {kind, item});
     const outcome = answer.kind === 'complete' ? 'success' : 'unknown';
-    this.note(session, 'read', startedAt, [statement], outcome, answer);
+    this.recordOperation(
+      session,
+      'read',
+      startedAt,
+      [statement],
+      outcome,
+      answer,
+    );
   }
 
   private async write(session: CallerSession): Promise<void> {
-    const startedAt = this.tools.clock();
+    const startedAt = this.deps.clock();
     const data = `${session.id}-${this.statements}`;
     const [statement, answer] = await this.send(session, {
       kind: 'write',
-      item: this.item(),
+      item: this.randomItem(),
       data,
     });
     const outcome = outcomeOf(answer);
-    this.note(session, 'write', startedAt, [statement], outcome, answer, data);
+    this.recordOperation(
+      session,
+      'write',
+      startedAt,
+      [statement],
+      outcome,
+      answer,
+      data,
+    );
   }
 
-  /** A transaction; until its commit is sent nothing of it may be kept. */
-  private async transact(session: CallerSession): Promise<void> {
-    const startedAt = this.tools.clock();
+  /**
+   * Runs a transaction. If it ends before COMMIT is sent, with a rollback or a
+   * closed connection, none of its changes may be committed.
+   */
+  private async runTransaction(session: CallerSession): Promise<void> {
+    const startedAt = this.deps.clock();
     const data = `${session.id}-${this.statements}`;
     const statements: SentStatement[] = [];
-    const leaves = this.tools.random.fraction() < 0.1;
-    const note = (outcome: OperationOutcome, last: ClientAnswer): void =>
-      this.note(
+    const disconnects = this.deps.random.fraction() < 0.1;
+    const record = (outcome: OperationOutcome, last: ClientAnswer): void =>
+      this.recordOperation(
         session,
         'transaction',
         startedAt,
@@ -141,25 +164,25 @@
       );
     await this.send(session, {kind: 'begin'});
     const commands: readonly ClientCommand[] = [
-      {kind: 'read', item: this.item()},
-      {kind: 'write', item: this.item(), data},
+      {kind: 'read', item: this.randomItem()},
+      {kind: 'write', item: this.randomItem(), data},
     ];
     for (const command of commands) {
       const [statement, answer] = await this.send(session, command);
       statements.push(statement);
       if (answer.kind !== 'complete') {
         await this.send(session, {kind: 'rollback'});
-        return note('nothing-kept', answer);
+        return record('nothing-kept', answer);
       }
-      await sleep(this.tools.random.integer(0, MAX_PAUSE_MS));
+      await sleep(this.deps.random.integer(0, MAX_PAUSE_MS));
     }
-    if (leaves) {
+    if (disconnects) {
       session.client.close();
-      return note('nothing-kept', {kind: 'none', detail: 'left'});
+      return record('nothing-kept', {kind: 'none', detail: 'left'});
     }
     const [commit, answer] = await this.send(session, {kind: 'commit'});
     statements.push(commit);
-    note(outcomeOf(answer), answer);
+    record(outcomeOf(answer), answer);
   }
 
   private async send(
@@ -167,7 +190,7 @@
     command: ClientCommand,
   ): Promise<[SentStatement, ClientAnswer]> {
     const id = this.nextId();
-    const sentAt = this.tools.clock();
+    const sentAt = this.deps.clock();
     const answer = await session.client.run(id, command);
     const statement: SentStatement = {
       id,
@@ -182,7 +205,7 @@
     return [statement, answer];
   }
 
-  private note(
+  private recordOperation(
     {id, group, database, key}: CallerSession,
     kind: OperationKind,
     startedAt: number,
@@ -200,27 +223,27 @@
       statements,
       data,
       startedAt,
-      endedAt: this.tools.clock(),
+      endedAt: this.deps.clock(),
       outcome,
       detail: JSON.stringify(last),
     };
-    this.tools.history.operations.push(operation);
+    this.deps.history.operations.push(operation);
   }
 
-  private item(): string {
-    return `item${this.tools.random.integer(1, ITEMS)}`;
+  private randomItem(): string {
+    return `item${this.deps.random.integer(1, ITEM_COUNT)}`;
   }
 
   private nextId(): string {
-    return `${this.tools.name}-${++this.statements}`;
+    return `${this.deps.name}-${++this.statements}`;
   }
 
   private pick<T>(items: readonly T[]): T {
-    return items[this.tools.random.integer(0, items.length - 1)] as T;
+    return items[this.deps.random.integer(0, items.length - 1)] as T;
   }
 }
 
-/** What an answer promises of a write or a commit. */
+/** Returns what a response guarantees about a write or a commit. */
 function outcomeOf(answer: ClientAnswer): OperationOutcome {
   if (answer.kind === 'complete') return 'success';
   if (answer.kind === 'none') return 'unknown';
--- a/soak/src/faults/fault_injector.ts
+++ b/soak/src/faults/fault_injector.ts
@@ -10,15 +10,15 @@
 
 const BEHIND_LAG_MS = 3_000;
 const USUAL_LAG_MS = 20;
-/** A member that leaves serves until this long after it said so. */
+/** How long a draining member still serves after its announcement. */
 const DRAIN_MS = 7_000;
 const CONFIGURATION_GAP_MS = 150;
 
 /** Ends a fault. */
 type Undo = () => void | Promise<void>;
 
-/** Faults that keep VMs from what they must know, or stop them. */
-const DISTURBING: ReadonlySet<FaultKind> = new Set([
+/** Faults that stop or pause VMs or delay their updates from the store. */
+const DISTURBING_KINDS: ReadonlySet<FaultKind> = new Set([
   'vm-killed',
   'vm-paused',
   'vm-stopped',
@@ -31,38 +31,41 @@
   'connections-reset',
 ]);
 
-/** Causes faults in a running world, each from outside of the programs. */
+/** Injects faults into running processes and stand-ins from the outside. */
 export class FaultInjector {
-  /** When faults disturbed VMs or the store. */
-  private readonly disturbed: Array<{fromMs: number; toMs: number}> = [];
+  /** Intervals in which a fault of `DISTURBING_KINDS` was active. */
+  private readonly disturbedIntervals: Array<{fromMs: number; toMs: number}> =
+    [];
   private readonly pending = new Set<Promise<void>>();
 
   constructor(
-    private readonly world: PlatformWorld,
+    private readonly standins: PlatformWorld,
     private readonly vms: readonly VmProcess[],
     private readonly clock: () => number,
   ) {}
 
-  /** Begins a fault and ends it after its time. */
+  /** Starts a fault and ends it after its duration. */
   inject(fault: Fault): void {
     const running = this.run(fault);
     this.pending.add(running);
     void running.finally(() => this.pending.delete(running));
   }
 
+  /** Waits until all injected faults have ended. */
   async untilOver(): Promise<void> {
     await Promise.all(this.pending);
   }
 
+  /** Whether no fault disturbed VMs or the store during the interval. */
   isCalm(fromMs: number, toMs: number): boolean {
-    return this.disturbed.every(
+    return this.disturbedIntervals.every(
       span => span.toMs < fromMs || span.fromMs > toMs,
     );
   }
 
   private async run(fault: Fault): Promise<void> {
     const span = {fromMs: this.clock(), toMs: Infinity};
-    if (DISTURBING.has(fault.kind)) this.disturbed.push(span);
+    if (DISTURBING_KINDS.has(fault.kind)) this.disturbedIntervals.push(span);
     const undo = await this.begin(fault);
     await new Promise(resolve => setTimeout(resolve, fault.forMs));
     await undo();
@@ -71,9 +74,9 @@
 
   private async begin({kind, forMs, target}: Fault): Promise<Undo> {
     const vm = pick(this.vms, target);
-    const member = pick(this.world.memberNames, target >> 4);
-    const group = pick([...this.world.groups.keys()], target >> 2);
-    const toMember = vm.paths.memberProxies.get(member);
+    const member = pick(this.standins.memberNames, target >> 4);
+    const group = pick([...this.standins.groups.keys()], target >> 2);
+    const memberProxy = vm.paths.memberProxies.get(member);
     switch (kind) {
       case 'vm-killed':
         await vm.end('SIGKILL');
@@ -88,76 +91,76 @@
         await Promise.all(this.vms.map(item => item.end('SIGKILL')));
         return () => this.vms.forEach(item => item.start());
       case 'store-unavailable':
-        return this.storeMood('unavailable');
+        return this.setStoreFaultMode('unavailable');
       case 'store-silent':
-        return this.storeMood('silent');
+        return this.setStoreFaultMode('silent');
       case 'store-slow':
-        return this.storeMood('slow');
+        return this.setStoreFaultMode('slow');
       case 'store-loses-answers':
-        return this.storeMood('loses-answers');
+        return this.setStoreFaultMode('loses-answers');
       case 'store-cut-from-vm':
-        return proxyMode(vm.paths.storeProxy, 'silent');
+        return setProxyMode(vm.paths.storeProxy, 'silent');
       case 'orders-lose-answers':
-        this.world.orders.mood = 'loses-answers';
+        this.standins.orders.mood = 'loses-answers';
         return () => {
-          this.world.orders.mood = 'answers';
+          this.standins.orders.mood = 'answers';
         };
       case 'member-cut-from-vm':
-        return proxyMode(toMember, 'silent');
+        return setProxyMode(memberProxy, 'silent');
       case 'member-cut-one-way':
-        return proxyMode(
-          toMember,
+        return setProxyMode(
+          memberProxy,
           target % 2 === 0 ? 'silent-forward' : 'silent-back',
         );
       case 'member-delayed':
-        return proxyMode(toMember, 'delayed');
+        return setProxyMode(memberProxy, 'delayed');
       case 'connections-reset':
         for (const proxy of vm.paths.memberProxies.values()) proxy.reset();
         vm.paths.storeProxy.reset();
         return () => undefined;
       case 'primary-dark':
-        return this.takeDown(this.world.primaryOf(group) ?? member, 'dark');
+        return this.takeDown(this.standins.primaryOf(group) ?? member, 'dark');
       case 'member-crashed':
         return this.takeDown(member, 'crashed');
       case 'replicas-behind':
-        this.world.setLag(member, BEHIND_LAG_MS);
-        return () => this.world.setLag(member, USUAL_LAG_MS);
+        this.standins.setLag(member, BEHIND_LAG_MS);
+        return () => this.standins.setLag(member, USUAL_LAG_MS);
       case 'primary-leaves':
-        return this.leave(this.world.primaryOf(group) ?? member);
+        return this.drainAndRestart(this.standins.primaryOf(group) ?? member);
       case 'key-withdrawn':
-        this.world.operators.withdraw(pick(WORKSPACES, target));
+        this.standins.operators.withdraw(pick(WORKSPACES, target));
         return () => undefined;
       case 'configurations':
         return this.changeConfiguration(forMs);
     }
   }
 
-  private storeMood(mood: StoreMood): Undo {
-    for (const {paths} of this.vms) paths.store.mood = mood;
+  private setStoreFaultMode(faultMode: StoreMood): Undo {
+    for (const {paths} of this.vms) paths.store.mood = faultMode;
     return () => {
       for (const {paths} of this.vms) paths.store.mood = 'answers';
     };
   }
 
   private takeDown(name: string, how: 'dark' | 'crashed'): Undo {
-    this.world.takeDown(name, how);
-    return () => this.world.bringBack(name);
+    this.standins.takeDown(name, how);
+    return () => this.standins.bringBack(name);
   }
 
-  /** The member says that it leaves, serves on for a while, and starts anew. */
-  private leave(name: string): Undo {
-    this.world.setListing(name, 'draining');
+  /** Lists the member as draining; after the drain it crashes and restarts. */
+  private drainAndRestart(name: string): Undo {
+    this.standins.setListing(name, 'draining');
     return async () => {
       await new Promise(resolve => setTimeout(resolve, DRAIN_MS));
-      this.world.takeDown(name, 'crashed');
-      this.world.setListing(name, 'ready');
-      this.world.bringBack(name);
+      this.standins.takeDown(name, 'crashed');
+      this.standins.setListing(name, 'ready');
+      this.standins.bringBack(name);
     };
   }
 
   private changeConfiguration(forMs: number): Undo {
     const timer = setInterval(
-      () => this.world.operators.changeLimits(),
+      () => this.standins.operators.changeLimits(),
       CONFIGURATION_GAP_MS,
     );
     setTimeout(() => clearInterval(timer), forMs);
@@ -165,7 +168,7 @@
   }
 }
 
-function proxyMode(proxy: FaultProxy | undefined, mode: ProxyMode): Undo {
+function setProxyMode(proxy: FaultProxy | undefined, mode: ProxyMode): Undo {
   proxy?.setMode(mode);
   return () => proxy?.setMode('open');
 }
--- a/soak/src/faults/fault_plan.ts
+++ b/soak/src/faults/fault_plan.ts
@@ -1,6 +1,6 @@
 import {Random} from '@pistachiorill/core';
 
-/** The troubles that a soak causes from outside the programs. */
+/** The kinds of faults that a soak run injects from outside the processes. */
 export const FAULT_KINDS = [
   'vm-killed',
   'vm-paused',
@@ -24,45 +24,48 @@
   'configurations',
 ] as const;
 
+/** A kind of fault, which `FaultInjector` implements. */
 export type FaultKind = (typeof FAULT_KINDS)[number];
 
-/** One trouble of a run. */
+/** One fault of a run. */
 export interface Fault {
   readonly kind: FaultKind;
+  /** Time after the start of the run. */
   readonly atMs: number;
+  /** Duration of the fault. */
   readonly forMs: number;
-  /** Chooses the VM, group or member that is hit. */
+  /** A random number that selects the affected VM, group or member. */
   readonly target: number;
 }
 
-/** Kinds that are drawn more often, as most promises hang on them. */
+/** Kinds that are drawn more often, as most guarantees depend on them. */
 const WEIGHTS: Partial<Record<FaultKind, number>> = {
   'primary-dark': 4,
   'primary-leaves': 2,
   'vm-paused': 2,
   'member-cut-from-vm': 2,
 };
-const DRAWN = FAULT_KINDS.flatMap(kind =>
+const WEIGHTED_KINDS = FAULT_KINDS.flatMap(kind =>
   Array.from({length: WEIGHTS[kind] ?? 1}, () => kind),
 );
 
-/** Faults begin after the programs have served for this long. */
-const QUIET_START_MS = 1_500;
-/** The programs have this long to recover before a run ends. */
-const QUIET_END_MS = 4_000;
+/** The time without faults at the start of a run. */
+const FAULT_FREE_START_MS = 1_500;
+/** No fault starts in the last part of a run, which leaves time to recover. */
+const FAULT_FREE_END_MS = 4_000;
 const MEAN_GAP_MS = 900;
 
-/** Draws the faults of a run from its seed; they come in series and overlap. */
+/** Draws the faults of a run from its seed; consecutive faults can overlap. */
 export function planFaults(seed: number, lengthMs: number): readonly Fault[] {
   const random = new Random(seed);
   const faults: Fault[] = [];
-  let atMs = QUIET_START_MS;
-  while (atMs < lengthMs - QUIET_END_MS) {
-    const kind = DRAWN[random.integer(0, DRAWN.length - 1)];
+  let atMs = FAULT_FREE_START_MS;
+  while (atMs < lengthMs - FAULT_FREE_END_MS) {
+    const kind = WEIGHTED_KINDS[random.integer(0, WEIGHTED_KINDS.length - 1)];
     const forMs = random.integer(300, 4_000);
     const target = random.integer(0, 1_000_000);
     if (kind) faults.push({kind, atMs, forMs, target});
-    // A second trouble often strikes while the first one lasts.
+    // The gap counts from the start of a fault, so that faults often overlap.
     atMs += random.integer(0, 2 * MEAN_GAP_MS);
   }
   return faults;
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -6,18 +6,19 @@
     $ npm run soak -- --seeds 1-50
     $ npm run soak -- --seeds 17 --seconds 30
 
-  Runs gateway processes against stand-ins of the platform, causes faults by
-  seed, and checks what callers and members saw.
+  Runs gateway processes against stand-ins for the platform, injects faults
+  that follow from the seed, and checks the recorded operations of callers and
+  members for consistency violations.
 
   Options
     --seeds    one seed or a range (default 1-3)
-    --seconds  length of a run before its recovery (default 12)
+    --seconds  length of a run without its recovery (default 12)
     --vms      gateway processes (default 4)
-    --callers  callers at a time (default 10)
-    --folder   where logs are kept (default build/soak)
+    --callers  concurrent callers (default 10)
+    --folder   folder for logs (default build/soak)
 
   Exit codes
-    0 every promise was kept   1 a promise was broken   2 wrong usage
+    0 no violation   1 violations found   2 invalid arguments
 `;
 
 async function main(): Promise<number> {
@@ -34,12 +35,12 @@
   });
   const match = /^(\d+)(?:-(\d+))?$/.exec(flags.seeds);
   if (!match) {
-    console.error('expected --seeds N or --seeds N-M; see --help');
+    console.error('--seeds must be N or N-M; see --help');
     return 2;
   }
   const first = Number(match[1]);
   const last = Number(match[2] ?? match[1]);
-  let broken = 0;
+  let violatedSeeds = 0;
   for (let seed = first; seed <= last; seed++) {
     const report = await runSoak({
       seed,
@@ -54,10 +55,10 @@
     for (const item of violations.slice(0, 10)) {
       console.log(`  ${item.promise}: ${item.detail}`);
     }
-    if (violations.length > 0) broken++;
+    if (violations.length > 0) violatedSeeds++;
   }
-  console.log(`${last - first + 1} seeds, ${broken} with a broken promise`);
-  return broken > 0 ? 1 : 0;
+  console.log(`${last - first + 1} seeds, ${violatedSeeds} with violations`);
+  return violatedSeeds > 0 ? 1 : 0;
 }
 
 main().then(
--- a/soak/src/run_soak.ts
+++ b/soak/src/run_soak.ts
@@ -21,19 +21,23 @@
 import {planFaults} from './faults/fault_plan.js';
 import {VmProcess} from './vm_process.js';
 
+/** The size of a soak run and the program that it tests. */
 export interface SoakSettings {
   readonly seed: number;
+  /** Length of the part with faults, before the run waits for recovery. */
   readonly lengthMs: number;
   readonly vms: number;
   readonly callers: number;
-  /** The bundled gateway. */
+  /** Path of the bundled gateway. */
   readonly program: string;
-  /** Where logs and the history of a failed run are kept. */
+  /** Folder for logs and for the history of a run with violations. */
   readonly folder: string;
 }
 
+/** The counts and violations of one soak run. */
 export interface SoakReport {
   readonly seed: number;
+  /** The injected faults, each as start and duration in ms and its kind. */
   readonly faults: readonly string[];
   readonly operations: number;
   readonly served: number;
@@ -42,22 +46,25 @@
 }
 
 const READY_TIMEOUT_MS = 20_000;
-/** Operations in the last part of a run show whether it recovered. */
+/** The final part of a run, whose operations show whether the VMs recovered. */
 const RECOVERY_MS = 1_500;
-/** As the users ask: a quarter of what is asked after a fault. */
-const RECOVERY_SHARE = 0.25;
+/** Users require that a quarter of the requests is served after a fault. */
+const MIN_SERVED_SHARE = 0.25;
 
-/** Runs gateways as processes, hurts them, and checks what was seen. */
+/**
+ * Runs gateway processes under load, injects faults, and checks the recorded
+ * history. Waits until all faults are over and the VMs had time to recover.
+ */
 export async function runSoak(settings: SoakSettings): Promise<SoakReport> {
   const {seed, lengthMs} = settings;
   const folder = join(settings.folder, `seed-${seed}`);
   mkdirSync(folder, {recursive: true});
   const clock = (): number => performance.now();
   const history = newHistory();
-  const world = await PlatformWorld.start(history, clock);
-  const vms = await startVms(settings, world, folder);
-  const injector = new FaultInjector(world, vms, clock);
-  const callers = startCallers(settings, world, vms, history, clock);
+  const standins = await PlatformWorld.start(history, clock);
+  const vms = await startVms(settings, standins, folder);
+  const injector = new FaultInjector(standins, vms, clock);
+  const callers = startCallers(settings, standins, vms, history, clock);
   const faults = planFaults(seed, lengthMs);
   const startedAt = clock();
   try {
@@ -73,23 +80,23 @@
   } finally {
     for (const vm of vms) vm.signal('SIGCONT');
     await Promise.all(vms.map(vm => vm.end('SIGKILL')));
-    world.close();
+    standins.close();
   }
   const violations = checkHistory(history, {
     ends: new Map(
-      [...world.groups].map(([name, group]) => [
+      [...standins.groups].map(([name, group]) => [
         name,
         group.primary()?.received,
       ]),
     ),
-    withdrawnAt: withdrawals(world),
+    withdrawnAt: withdrawalTimes(standins),
     isCalm: (fromMs, toMs) => injector.isCalm(fromMs, toMs),
     recovery: {
       fromMs: clock() - RECOVERY_MS,
-      leastShare: RECOVERY_SHARE,
+      leastShare: MIN_SERVED_SHARE,
     },
   });
-  if (violations.length > 0) keep(folder, history, violations);
+  if (violations.length > 0) saveHistory(folder, history, violations);
   return {
     seed,
     faults: faults.map(({kind, atMs, forMs}) => `${atMs}+${forMs} ${kind}`),
@@ -103,7 +110,7 @@
 
 async function startVms(
   {vms, program}: SoakSettings,
-  world: PlatformWorld,
+  standins: PlatformWorld,
   folder: string,
 ): Promise<readonly VmProcess[]> {
   const started: VmProcess[] = [];
@@ -111,7 +118,7 @@
     const [callers = 0, readiness = 0, peers = 0, metrics = 0] =
       await findFreePorts(4);
     const ports = {callers, readiness, peers, metrics};
-    const paths = await world.connectVm();
+    const paths = await standins.connectVm();
     const vm = new VmProcess(`vm-${number}`, ports, paths, program, folder);
     vm.start();
     started.push(vm);
@@ -138,7 +145,7 @@
 
 function startCallers(
   {callers, seed}: SoakSettings,
-  world: PlatformWorld,
+  standins: PlatformWorld,
   vms: readonly VmProcess[],
   history: History,
   clock: () => number,
@@ -146,7 +153,7 @@
   return Array.from({length: callers}, (unused, index) => {
     const caller = new Caller({
       name: `c${index}`,
-      groups: [...world.groups.keys()],
+      groups: [...standins.groups.keys()],
       addresses: vms.map(vm => vm.callerAddress),
       random: new Random(seed * 1_000 + index),
       clock,
@@ -156,7 +163,9 @@
   });
 }
 
-function withdrawals({operators}: PlatformWorld): ReadonlyMap<string, number> {
+function withdrawalTimes({
+  operators,
+}: PlatformWorld): ReadonlyMap<string, number> {
   return new Map(
     WORKSPACES.map(name => keyOf(name, 2)).flatMap(key => {
       const at = operators.withdrawnAt(key);
@@ -165,8 +174,8 @@
   );
 }
 
-/** Keeps what explains a failure, beside the logs of the VMs. */
-function keep(
+/** Writes the violations and the full history beside the logs of the VMs. */
+function saveHistory(
   folder: string,
   history: History,
   violations: readonly Violation[],
--- a/soak/src/vm_process.ts
+++ b/soak/src/vm_process.ts
@@ -5,7 +5,7 @@
 import {HOST} from '@pistachiorill/platform/standins';
 import type {VmPaths} from '@pistachiorill/platform/standins';
 
-/** Ports of one VM, claimed before it starts. */
+/** Ports of one VM, which are reserved before it starts. */
 export interface VmPorts {
   readonly callers: number;
   readonly readiness: number;
@@ -15,7 +15,7 @@
 
 const GRACE_MS = 3_000;
 
-/** One gateway process, which the soak starts and ends by its id. */
+/** One gateway process, which the soak test starts, signals and restarts. */
 export class VmProcess {
   private child: ChildProcess | undefined;
   private readonly settingsPath: string;
@@ -33,10 +33,12 @@
     writeFileSync(this.settingsPath, this.settings());
   }
 
+  /** The address to which callers connect. */
   get callerAddress(): string {
     return `${HOST}:${this.ports.callers}`;
   }
 
+  /** Starts the process; its output is appended to the log of the VM. */
   start(): void {
     const log = openSync(this.logPath, 'a');
     this.child = spawn(
@@ -47,11 +49,12 @@
     closeSync(log);
   }
 
+  /** Sends a signal without waiting for its effect. */
   signal(signal: NodeJS.Signals): void {
     this.child?.kill(signal);
   }
 
-  /** Ends the process and waits until it is gone. */
+  /** Ends the process and waits for its exit; does nothing after an exit. */
   async end(signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
     const {child} = this;
     if (!child || child.exitCode !== null || child.signalCode !== null) return;
@@ -60,6 +63,7 @@
     await exited;
   }
 
+  /** Renders the settings file of the gateway. */
   private settings(): string {
     const {callers, readiness, peers, metrics} = this.ports;
     return [
