--- a/packages/demo/src/demo_step.ts
+++ b/packages/demo/src/demo_step.ts
@@ -1,14 +1,14 @@
 import type {DemoContext} from './demo_context.js';
 
-/** One step of the demonstration. */
+/** One step of the demo. */
 export abstract class DemoStep {
   abstract readonly title: string;
 
-  /** Runs the step and describes its result. Throws on any surprise. */
+  /** Runs the step and describes its result; throws on an unexpected one. */
   abstract run(context: DemoContext): Promise<string>;
 }
 
-/** Throws unless the value is the expected one. */
+/** Throws an error that names `what` unless the values are equal. */
 export function expectEqual(
   what: string,
   actual: unknown,
--- a/packages/demo/src/main.ts
+++ b/packages/demo/src/main.ts
@@ -25,9 +25,9 @@
     $ npm run demo
 
   Options
-    --keep    leave the system running and print how to connect
+    --keep    keep the system running and print how to connect
 
-  Exit code 0 when every step went as expected, 1 otherwise.
+  Exit code 0 if every step had the expected result, 1 otherwise.
 `,
   {
     importMeta: import.meta,
--- a/packages/demo/src/queries.ts
+++ b/packages/demo/src/queries.ts
@@ -10,18 +10,18 @@
   return value === undefined ? undefined : String(value);
 }
 
-/** Returns the token of the connection's session. */
+/** Returns the session token of the connection. */
 export async function sessionToken(connection: Connection): Promise<string> {
   return (await queryText(connection, 'SELECT @@pistachiorill_session')) ?? '';
 }
 
-/** Calls until the result is defined, and fails after the limit. */
+/** Repeats the attempt until it returns a value; throws after the time limit. */
 export async function until<T>(
   what: string,
-  limitMs: number,
+  timeoutMs: number,
   attempt: () => Promise<T | undefined>,
 ): Promise<T> {
-  const end = Date.now() + limitMs;
+  const end = Date.now() + timeoutMs;
   for (;;) {
     const value = await attempt().catch(() => undefined);
     if (value !== undefined) return value;
--- a/packages/demo/src/steps/drain_data_centre.ts
+++ b/packages/demo/src/steps/drain_data_centre.ts
@@ -5,25 +5,25 @@
 const LIMIT_MS = 10_000;
 const DATA_CENTRE = 'warner-c';
 
-/** Takes a data centre out of service by a document, and brings it back. */
+/** Takes a data centre out of service with a document, and back in service. */
 export class DrainDataCentre extends DemoStep {
   override readonly title = 'take a data centre out and bring it back';
 
   override async run(context: DemoContext): Promise<string> {
     const start = Date.now();
     await context.fleet.promote({dataCentresOut: [DATA_CENTRE]});
-    await this.untilStatus(context, 503);
+    await this.waitForStatus(context, 503);
     const outMs = Date.now() - start;
     const caller = await context.connect('macon-a');
     const count = await queryText(caller, 'SELECT COUNT(*) FROM batch');
-    expectEqual('the rows elsewhere', count, '1');
+    expectEqual('the number of rows through another VM', count, '1');
     const back = Date.now();
     await context.fleet.promote();
-    await this.untilStatus(context, 200);
+    await this.waitForStatus(context, 200);
     return `out after ${outMs} ms, back after ${Date.now() - back} ms`;
   }
 
-  private untilStatus(context: DemoContext, status: number): Promise<true> {
+  private waitForStatus(context: DemoContext, status: number): Promise<true> {
     const {httpPort} = context.vmIn(DATA_CENTRE);
     return until(`readiness ${status}`, LIMIT_MS, async () => {
       const res = await fetch(`http://127.0.0.1:${httpPort}/readyz`);
--- a/packages/demo/src/steps/refused_key.ts
+++ b/packages/demo/src/steps/refused_key.ts
@@ -1,7 +1,7 @@
 import type {DemoContext} from '../demo_context.js';
 import {DemoStep} from '../demo_step.js';
 
-/** Connects with a key that was never granted. */
+/** Connects with an invalid key, which the VM refuses. */
 export class RefusedKey extends DemoStep {
   override readonly title = 'connect with a wrong key';
 
--- a/packages/demo/src/steps/repeat_request.ts
+++ b/packages/demo/src/steps/repeat_request.ts
@@ -2,7 +2,7 @@
 import {DemoStep, expectEqual} from '../demo_step.js';
 import {queryText} from '../queries.js';
 
-/** Sends a request again through another VM. */
+/** Resends a request through another VM, which returns the first outcome. */
 export class RepeatRequest extends DemoStep {
   override readonly title = 'repeat a request through another VM';
 
@@ -13,6 +13,6 @@
     );
     const count = await queryText(caller, 'SELECT COUNT(*) FROM batch');
     expectEqual('the number of rows', count, '1');
-    return 'the recorded outcome came back, the row was not inserted twice';
+    return 'the VM returned the recorded outcome and inserted no second row';
   }
 }
--- a/packages/demo/src/steps/replace_primary.ts
+++ b/packages/demo/src/steps/replace_primary.ts
@@ -5,7 +5,7 @@
 
 const LIMIT_MS = 15_000;
 
-/** Kills the primary; the VMs promote a replica. */
+/** Kills the primary and measures the time until a write succeeds again. */
 export class ReplacePrimary extends DemoStep {
   override readonly title = 'kill the primary';
 
@@ -16,7 +16,7 @@
     const caller = await context.connect('macon-a');
     const start = Date.now();
     await fleet.members.get(former)?.kill();
-    // The request id makes it safe to send the write again until it succeeds.
+    // The request id makes it safe to resend the write until it succeeds.
     await until('a write after the failover', LIMIT_MS, () =>
       caller.query(
         "/*route='release',request_id='r-2'*/ INSERT INTO batch VALUES (2, 'B1')",
@@ -25,11 +25,11 @@
     const gapMs = Date.now() - start;
     const count = await queryText(caller, 'SELECT COUNT(*) FROM batch');
     expectEqual('the number of rows', count, '2');
-    const primary = await this.newPrimary(context, database);
+    const primary = await this.findNewPrimary(context, database);
     return `${former} replaced by ${primary}, next write after ${gapMs} ms`;
   }
 
-  private async newPrimary(
+  private async findNewPrimary(
     {fleet}: DemoContext,
     database: string,
   ): Promise<string | undefined> {
--- a/packages/demo/src/steps/stale_read.ts
+++ b/packages/demo/src/steps/stale_read.ts
@@ -6,7 +6,7 @@
 const SERVED_BY_REPLICA =
   /^pistachiorill_reads_total\{[^}]*replica[^}]*\} (\d+)/m;
 
-/** Reads data of a stated age, which a replica may serve. */
+/** Reads with a maximum age, which allows a replica to serve the read. */
 export class StaleRead extends DemoStep {
   override readonly title = 'read data that may be two seconds old';
 
@@ -17,12 +17,12 @@
         caller,
         "/*route='lookup',max_age_ms='2000'*/ SELECT COUNT(*) FROM batch",
       );
-      return this.replicaReads(context);
+      return this.countReplicaReads(context);
     });
     return `replicas served ${served} reads`;
   }
 
-  private async replicaReads(
+  private async countReplicaReads(
     context: DemoContext,
   ): Promise<number | undefined> {
     let sum = 0;
--- a/packages/demo/src/steps/write_and_read.ts
+++ b/packages/demo/src/steps/write_and_read.ts
@@ -2,7 +2,7 @@
 import {DemoStep, expectEqual} from '../demo_step.js';
 import {queryText, sessionToken} from '../queries.js';
 
-/** Writes through one VM and reads the write through another. */
+/** Writes through one VM and reads its own write through another. */
 export class WriteAndRead extends DemoStep {
   override readonly title = 'write, then read on another VM';
 
@@ -20,7 +20,7 @@
       reader,
       `/*route='lookup',session='${token}'*/ SELECT lot FROM batch WHERE id = 1`,
     );
-    expectEqual('the row read', lot, 'A7');
+    expectEqual('the lot of the row', lot, 'A7');
     return `wrote through macon-a, read "${lot}" through perry-b`;
   }
 }
--- a/packages/launcher/src/__tests__/configuration.test.ts
+++ b/packages/launcher/src/__tests__/configuration.test.ts
@@ -9,16 +9,16 @@
 const BUILD_FOLDER = fileURLToPath(
   new URL('../../../../build', import.meta.url),
 );
-const LIMIT_MS = 8_000;
+const WAIT_MS = 8_000;
 const STATEMENT_MS = 60;
 
-interface ClientFault {
+interface ClientError {
   readonly errno: number;
   readonly code: string;
   readonly message: string;
 }
 
-describe('a configuration in force over separate processes', () => {
+describe('configuration changes over separate processes', () => {
   const fleet = new Fleet(
     {
       ...AUTHORITY,
@@ -54,10 +54,10 @@
     return {connection, closed};
   }
 
-  function faultOf(promise: Promise<unknown>): Promise<string> {
+  function errorOf(promise: Promise<unknown>): Promise<string> {
     return promise.then(
       () => 'done',
-      (err: ClientFault) => (err.errno > 0 ? err.message : 'closed'),
+      (err: ClientError) => (err.errno > 0 ? err.message : 'closed'),
     );
   }
 
@@ -68,8 +68,11 @@
     return (await res.json()) as VmStatus;
   }
 
-  async function until<T>(read: () => Promise<T>, expected: T): Promise<T> {
-    const end = Date.now() + LIMIT_MS;
+  async function waitForValue<T>(
+    read: () => Promise<T>,
+    expected: T,
+  ): Promise<T> {
+    const end = Date.now() + WAIT_MS;
     for (;;) {
       const value = await read();
       if (JSON.stringify(value) === JSON.stringify(expected)) return value;
@@ -87,7 +90,7 @@
       .flatMap(group => group.members)
       .map(member => `${member.dataCentre} ${member.accepting}`);
 
-  // Guards against a withdrawn key that works on connections that are open.
+  // Guards against a withdrawn key that still works on open connections.
   it('closes idle and busy connections of a withdrawn key', async () => {
     const idle = await connect('macon-a', small);
     const busy = await connect('macon-a', small);
@@ -95,10 +98,11 @@
     const other = await connect('macon-a');
     await inTransaction.connection.query('BEGIN');
     const loop = (async () => {
-      const end = Date.now() + LIMIT_MS;
+      const end = Date.now() + WAIT_MS;
       while (Date.now() < end) {
-        const fault = await faultOf(busy.connection.query('SELECT 1'));
-        // Depends on whether the statement came before the close.
+        const fault = await errorOf(busy.connection.query('SELECT 1'));
+        // Which of the two depends on whether the statement or the close of
+        // the connection comes first.
         if (fault === 'closed' || fault.includes('bad-key')) return 'ended';
         if (fault !== 'done') return fault;
       }
@@ -109,38 +113,38 @@
       idle: await idle.closed,
       busy: await loop,
       inTransaction: await inTransaction.closed,
-      again: await faultOf(connect('macon-a', small)),
-      other: await faultOf(other.connection.query('SELECT 1')),
+      again: await errorOf(connect('macon-a', small)),
+      other: await errorOf(other.connection.query('SELECT 1')),
     }).toMatchSnapshot();
     await other.connection.end();
   });
 
   // Guards against new work in a data centre that is out of service, and
-  // against a data centre that does not come back.
+  // against a data centre that gets no work after its return.
   it('takes a data centre out of service and back', async () => {
     const {closed} = await connect('warner-c');
     await fleet.promote({dataCentresOut: ['warner-c']});
     const out = {
-      vm: await until(
+      vm: await waitForValue(
         () => lifecycleOf('warner-c'),
         'draining data-centre-out',
       ),
       otherVm: await lifecycleOf('macon-a'),
       idle: await closed,
-      connect: await faultOf(connect('warner-c')),
-      members: await until(
+      connect: await errorOf(connect('warner-c')),
+      members: await waitForValue(
         () => membersOf('macon-a'),
         ['macon-a yes', 'perry-b yes', 'warner-c no'],
       ),
     };
     await fleet.promote();
     const back = {
-      vm: await until(() => lifecycleOf('warner-c'), 'serving'),
-      members: await until(
+      vm: await waitForValue(() => lifecycleOf('warner-c'), 'serving'),
+      members: await waitForValue(
         () => membersOf('macon-a'),
         ['macon-a yes', 'perry-b yes', 'warner-c yes'],
       ),
-      connect: await faultOf(
+      connect: await errorOf(
         connect('warner-c').then(({connection}) => connection.end()),
       ),
     };
@@ -151,7 +155,7 @@
   it('drains a leaving backend server', async () => {
     await fleet.promote({leavingServers: ['wash-ledger-1-perry-b']});
     expect(
-      await until(
+      await waitForValue(
         () => membersOf('warner-c'),
         ['macon-a yes', 'perry-b no', 'warner-c yes'],
       ),
@@ -159,16 +163,19 @@
     await fleet.promote();
   });
 
-  // Guards against a VM that the platform is about to take away and that
-  // still takes callers.
+  // Guards against a VM that still accepts callers although the platform is
+  // about to remove it.
   it('drains a VM that is listed as leaving', async () => {
     await fleet.listVms(fleet.vms, [vmIn('perry-b').name]);
     const expected = 'draining listed-leaving';
-    expect(await until(() => lifecycleOf('perry-b'), expected)).toBe(expected);
+    expect(await waitForValue(() => lifecycleOf('perry-b'), expected)).toBe(
+      expected,
+    );
     await fleet.listVms();
-    // Guards against a VM that stays out when the platform keeps it. In an
-    // outage it would not learn of that, so later tests need it back.
-    expect(await until(() => lifecycleOf('perry-b'), 'serving')).toBe(
+    // Guards against a VM that keeps draining after the platform lists it as
+    // live again. Later tests need it serving, as it cannot receive a change of
+    // the list during an outage.
+    expect(await waitForValue(() => lifecycleOf('perry-b'), 'serving')).toBe(
       'serving',
     );
   });
@@ -185,13 +192,13 @@
         return (await body.json()) as {action: string; after: string};
       }),
     );
-    // Which versions a VM sees depends on when it polls.
+    // Which versions a VM applies depends on when it polls.
     return entries.map(({action, after}) =>
       action.startsWith('drain') ? `${action}: ${after}` : action,
     );
   }
 
-  // Guards against a stop that interrupts a statement or a transaction.
+  // Guards against a shutdown that interrupts a statement or a transaction.
   it('finishes running work on SIGTERM and exits with 0', async () => {
     const idle = await connect('macon-a');
     const running = await connect('macon-a');
@@ -200,27 +207,29 @@
     await inTransaction.connection.query(create);
     await inTransaction.connection.query('BEGIN');
     await inTransaction.connection.query('INSERT INTO stop_test VALUES (0)');
-    const statement = faultOf(running.connection.query('SELECT 1'));
+    const statement = errorOf(running.connection.query('SELECT 1'));
     await new Promise(resolve => setTimeout(resolve, STATEMENT_MS / 3));
     const exit = vmIn('macon-a').child.stop();
     expect({
       statement: await statement,
       idle: await idle.closed,
-      refused: await faultOf(connect('macon-a')),
-      inTransaction: await faultOf(
+      refused: await errorOf(connect('macon-a')),
+      inTransaction: await errorOf(
         inTransaction.connection.query('INSERT INTO stop_test VALUES (1)'),
       ),
-      commit: await faultOf(inTransaction.connection.query('COMMIT')),
+      commit: await errorOf(inTransaction.connection.query('COMMIT')),
       exitCode: await exit,
     }).toMatchSnapshot();
-    // Guards against changes that a VM keeps to itself when it stops.
+    // Guards against changes that a stopping VM does not write to the audit
+    // log.
     const actions = await auditedActions(vmIn('macon-a').name);
-    // Which VM runs a step of a failover depends on who owned the group then.
+    // Which VM runs a failover step depends on the owner of the group at that
+    // time.
     const own = actions.filter(action => action !== 'failover-step');
     expect([...new Set(own)].sort()).toMatchSnapshot();
   });
 
-  // Guards against a VM that serves nobody when it starts in an outage.
+  // Guards against a VM that serves no callers when it starts in an outage.
   it('starts without the platform with the configuration of a peer', async () => {
     const {name} = vmIn('warner-c');
     const before = await statusOf('warner-c');
@@ -229,7 +238,7 @@
     await fleet.restartVm(name);
     const {version} = await statusOf('warner-c');
     expect(version).toBe(before.version);
-    // The handshake needs the key's verifier, which is in the document.
+    // The handshake requires the key's verifier, which only the document has.
     const {connection} = await connect('warner-c');
     await connection.end();
   });
--- a/packages/launcher/src/__tests__/failover.test.ts
+++ b/packages/launcher/src/__tests__/failover.test.ts
@@ -11,7 +11,7 @@
 );
 const DATABASE = 'wash-ledger-1';
 const WAIT_MS = 12_000;
-/** Longer than suspicion, rank delay and the detection together. */
+/** Longer than the suspicion time, the rank delay and the detection together. */
 const PARTITION_MS = 3_500;
 
 describe('failover over separate processes', () => {
@@ -47,7 +47,7 @@
     );
   }
 
-  async function until(
+  async function waitUntil(
     what: string,
     check: () => boolean | Promise<boolean>,
   ): Promise<void> {
@@ -58,7 +58,10 @@
     }
   }
 
-  /** Disturbs the primary under writes, brings it back and compares rows. */
+  /**
+   * Disturbs the primary during writes, waits for a failover, restores the
+   * former primary and compares its rows with those of the new one.
+   */
   async function failOver(
     disturb: (primary: string) => void | Promise<void>,
     restore: (primary: string) => void | Promise<void>,
@@ -67,19 +70,19 @@
     const termBefore = (await fleet.stateOf(former))?.term ?? 0;
     const connections = await connectAll();
     const writers = new Writers(connections);
-    await until('the first writes', () => writers.acknowledged.length > 10);
+    await waitUntil('the first writes', () => writers.acknowledged.length > 10);
     const disturbedAt = Date.now();
     await disturb(former);
-    const servedAfter = (index: number): boolean =>
+    const hasServedAfter = (index: number): boolean =>
       writers.acknowledged.filter(item => item.begunAt > disturbedAt).length >
       index;
-    await until('writes after the failover', () => servedAfter(20));
+    await waitUntil('writes after the failover', () => hasServedAfter(20));
     const resumedAt = writers.acknowledged.find(
       item => item.at > disturbedAt + 200,
     )?.at;
     console.log(`failover gap ${(resumedAt ?? 0) - disturbedAt} ms`);
     await restore(former);
-    await until(
+    await waitUntil(
       'the rejoin',
       async () => (await fleet.primaryOf(DATABASE)) !== undefined,
     );
@@ -105,7 +108,7 @@
     return new Set((rows as Array<{id: number}>).map(row => row.id));
   }
 
-  /** Reads a member directly, once it has as many rows as expected. */
+  /** Reads the rows of a member directly once it has the expected number. */
   async function rowsOf(
     member: string,
     expected: ReadonlySet<number>,
@@ -114,7 +117,7 @@
     const login = {user: 'proxy', password: 'proxy-password'};
     const direct = await createConnection({host, port: Number(port), ...login});
     let rows = new Set<number>();
-    await until('the replication', async () => {
+    await waitUntil('the replication', async () => {
       rows = await readRows(direct);
       return rows.size >= expected.size;
     });
@@ -122,9 +125,9 @@
     return rows;
   }
 
-  // Guards against a failover that a partition between the primary and one
-  // data centre triggers.
-  it('keeps a primary that one data centre does not reach', async () => {
+  // Guards against a failover when only one data centre is partitioned from
+  // the primary.
+  it('keeps a primary that one data centre cannot reach', async () => {
     const primary = (await fleet.primaryOf(DATABASE)) ?? '';
     const before = await fleet.stateOf(primary);
     const connections = await connectAll();
@@ -135,7 +138,10 @@
     await fleet.cut(primary, []);
     const after = await fleet.stateOf(primary);
     const healed = new Writers(connections.slice(0, 1));
-    await until('a write after the cut', () => healed.acknowledged.length > 0);
+    await waitUntil(
+      'a write after the cut',
+      () => healed.acknowledged.length > 0,
+    );
     await healed.stop();
     await Promise.all(connections.map(connection => connection.end()));
     expect({
@@ -145,9 +151,9 @@
     }).toMatchSnapshot();
   });
 
-  // Guards against a lost acknowledged write and against a group that stays
+  // Guards against a lost acknowledged write and against a group that remains
   // without a primary.
-  it('replaces a killed primary and takes it back as a replica', async () => {
+  it('replaces a killed primary, which rejoins as a replica', async () => {
     const outcome = await failOver(
       primary => fleet.members.get(primary)?.kill(),
       primary => fleet.restartMember(primary),
@@ -156,8 +162,8 @@
   });
 
   // Guards against an acknowledgement by a primary that was replaced while it
-  // did not run, and against one that is not ordered to follow.
-  it('replaces a paused primary, which acknowledges nothing later', async () => {
+  // was paused, and against such a primary that is not made a replica.
+  it('replaces a paused primary, which acknowledges no later write', async () => {
     const outcome = await failOver(
       primary => fleet.members.get(primary)?.signal('SIGSTOP'),
       primary => fleet.members.get(primary)?.signal('SIGCONT'),
@@ -165,26 +171,26 @@
     expect(outcome).toMatchSnapshot();
   });
 
-  // Guards against a planned move that interrupts a write, and against a
-  // leaving backend server that stays primary.
-  it('moves the primary away from a leaving backend server', async () => {
+  // Guards against a switchover that interrupts a write, and against a leaving
+  // backend server that remains the primary.
+  it('switches the primary away from a leaving backend server', async () => {
     const former = (await fleet.primaryOf(DATABASE)) ?? '';
     const connections = await connectAll();
     const writers = new Writers(connections);
-    await until('the first writes', () => writers.acknowledged.length > 10);
+    await waitUntil('the first writes', () => writers.acknowledged.length > 10);
     await fleet.promote({leavingServers: [former]});
-    await until('the move', async () => {
+    await waitUntil('the switchover', async () => {
       const primary = await fleet.primaryOf(DATABASE);
       return primary !== undefined && primary !== former;
     });
-    const movedAt = Date.now();
-    await until('writes after the move', () =>
-      writers.acknowledged.some(item => item.begunAt > movedAt),
+    const switchedAt = Date.now();
+    await waitUntil('writes after the switchover', () =>
+      writers.acknowledged.some(item => item.begunAt > switchedAt),
     );
     await writers.stop();
     const times = writers.acknowledged.map(item => item.at);
     const gaps = times.map((at, index) => at - (times[index - 1] ?? at));
-    console.log(`planned move gap ${Math.max(...gaps)} ms`);
+    console.log(`switchover gap ${Math.max(...gaps)} ms`);
     const rows = await readRows(connections[0]);
     await Promise.all(connections.map(connection => connection.end()));
     expect({
--- a/packages/launcher/src/__tests__/failover_faults.test.ts
+++ b/packages/launcher/src/__tests__/failover_faults.test.ts
@@ -12,13 +12,13 @@
 );
 const DATABASE = 'wash-ledger-1';
 const WAIT_MS = 15_000;
-/** Longer than CONFIRM_LIMIT_MS, so that confirmation and loans expire. */
+/** Longer than CONFIRM_LIMIT_MS, so that confirmations and loans expire. */
 const PAUSE_MS = 7_000;
-/** The age that the route `lookup` allows, and a margin. */
+/** The maximum age of the route `lookup`, 2,000 ms, and a margin. */
 const LOOKUP_AGE_MS = 2_200;
-/** Ids that no other writer uses. */
+/** Row ids that `Writers` does not use. */
 const MARKER_ID = 1_000_001;
-const WAKING_ID = 1_000_002;
+const RESUMED_WRITE_ID = 1_000_002;
 const STRICT_READ = "/*route='invoice'*/ SELECT id FROM batch";
 const AGED_READ = "/*route='lookup'*/ SELECT id FROM batch";
 
@@ -41,8 +41,8 @@
   }
 }
 
-/** Sends statements of one workspace and counts those that were admitted. */
-class Load {
+/** Sends statements of one workspace and counts the admitted ones. */
+class StatementLoad {
   private admitted = 0;
   private state: 'running' | 'stopped' = 'running';
   private readonly startedAt = performance.now();
@@ -52,7 +52,7 @@
     this.loops = connections.map(connection => this.loop(connection));
   }
 
-  /** Returns how many were admitted above the workspace's limits. */
+  /** Stops and returns how many statements exceeded the workspace's limits. */
   async excess(rate: number, burst: number): Promise<number> {
     this.state = 'stopped';
     await Promise.all(this.loops);
@@ -101,13 +101,13 @@
       password: workspace?.key ?? '',
       database: fleet.profile.service,
     });
-    // A killed VM closes connections while no statement waits on them.
+    // A killed VM also closes idle connections, which raises this event.
     connection.on('error', () => undefined);
     connections.push(connection);
     return connection;
   }
 
-  async function until(
+  async function waitUntil(
     what: string,
     check: () => boolean | Promise<boolean>,
     intervalMs = 20,
@@ -119,13 +119,16 @@
     }
   }
 
-  function attempts(vm: RunningVm, event: 'started' | 'ended'): number {
+  function countAttempts(vm: RunningVm, event: 'started' | 'ended'): number {
     return vm.child.log.split(`failover.${event}`).length - 1;
   }
 
-  /** Waits until rows are acknowledged that were sent after the time. */
-  async function untilServed(writers: Writers, since: number): Promise<void> {
-    await until(
+  /** Waits until more than 20 writes sent after `since` are acknowledged. */
+  async function waitUntilServed(
+    writers: Writers,
+    since: number,
+  ): Promise<void> {
+    await waitUntil(
       'writes after the failover',
       () =>
         writers.acknowledged.filter(item => item.begunAt > since).length > 20,
@@ -141,29 +144,29 @@
     return writers.acknowledged.filter(({id}) => !read.ids.has(id)).length;
   }
 
-  /** Waits until a member that was gone follows the primary again. */
-  async function untilAllFollow(): Promise<void> {
-    await until(
+  /** Waits until all members are in the primary's term. */
+  async function waitUntilAllFollow(): Promise<void> {
+    await waitUntil(
       'the rejoin',
       async () => (await fleet.primaryOf(DATABASE)) !== undefined,
     );
   }
 
-  // Guards against a failover that needs the table service.
+  // Guards against a failover that depends on the table service.
   it('replaces a killed primary while the platform is down', async () => {
     const former = (await fleet.primaryOf(DATABASE)) ?? '';
     const reader = await connect(fleet.vms[0]);
     const writers = new Writers(
       await Promise.all(fleet.vms.map(vm => connect(vm))),
     );
-    await until('the first writes', () => writers.acknowledged.length > 10);
+    await waitUntil('the first writes', () => writers.acknowledged.length > 10);
     await fleet.platformFault('outage');
     const killedAt = Date.now();
     await fleet.members.get(former)?.kill();
-    await untilServed(writers, killedAt);
+    await waitUntilServed(writers, killedAt);
     await fleet.platformFault('none');
     await fleet.restartMember(former);
-    await untilAllFollow();
+    await waitUntilAllFollow();
     await writers.stop();
     expect({
       replaced: (await fleet.primaryOf(DATABASE)) !== former,
@@ -171,50 +174,51 @@
     }).toMatchSnapshot();
   });
 
-  // Guards against an attempt that stays unfinished when its VM dies. The slow
-  // platform keeps the attempt in its first step long enough for the kill.
-  it('finishes an attempt whose VM is killed', async () => {
+  // Guards against an attempt that remains unfinished when its VM dies. The
+  // slow platform keeps the attempt in its first step long enough to kill it.
+  it('completes an attempt whose VM is killed', async () => {
     const former = (await fleet.primaryOf(DATABASE)) ?? '';
     const before = new Map(
-      fleet.vms.map(vm => [vm.name, attempts(vm, 'started')]),
+      fleet.vms.map(vm => [vm.name, countAttempts(vm, 'started')]),
     );
     const loops = new Map<string, Writers>();
     for (const vm of fleet.vms) {
       loops.set(vm.name, new Writers([await connect(vm)]));
     }
-    await until('the first writes', () =>
+    await waitUntil('the first writes', () =>
       [...loops.values()].every(item => item.acknowledged.length > 3),
     );
     await fleet.platformFault('slow');
     await fleet.members.get(former)?.kill();
-    let leader: RunningVm | undefined;
-    await until(
+    let attemptVm: RunningVm | undefined;
+    await waitUntil(
       'an attempt',
       () => {
-        leader = fleet.vms.find(
-          vm => attempts(vm, 'started') > (before.get(vm.name) ?? 0),
+        attemptVm = fleet.vms.find(
+          vm => countAttempts(vm, 'started') > (before.get(vm.name) ?? 0),
         );
-        return leader !== undefined;
+        return attemptVm !== undefined;
       },
       2,
     );
-    await leader?.child.kill();
+    await attemptVm?.child.kill();
     const killedAt = Date.now();
     const unfinished =
-      leader && attempts(leader, 'started') > attempts(leader, 'ended');
-    const others = fleet.vms.filter(vm => vm !== leader);
+      attemptVm &&
+      countAttempts(attemptVm, 'started') > countAttempts(attemptVm, 'ended');
+    const others = fleet.vms.filter(vm => vm !== attemptVm);
     for (const vm of others) {
-      await untilServed(loops.get(vm.name) as Writers, killedAt);
+      await waitUntilServed(loops.get(vm.name) as Writers, killedAt);
     }
     await fleet.platformFault('none');
     await fleet.restartMember(former);
-    await untilAllFollow();
+    await waitUntilAllFollow();
     await Promise.all([...loops.values()].map(item => item.stop()));
     const reader = await connect(others[0]);
     const lost = await Promise.all(
       [...loops.values()].map(item => lostRows(item, reader)),
     );
-    await fleet.restartVm(leader?.name ?? '');
+    await fleet.restartVm(attemptVm?.name ?? '');
     expect({
       unfinished,
       replaced: (await fleet.primaryOf(DATABASE)) !== former,
@@ -222,10 +226,11 @@
     }).toMatchSnapshot();
   });
 
-  // Guards against answers from the view, confirmation and loans that a VM had
-  // before a pause. The replaced primary still serves the paused VM, which is
-  // the only one that reaches it, and it lacks the rows written meanwhile.
-  it('answers nothing stale through a VM that was paused', async () => {
+  // Guards against a resumed VM that responds on the basis of the view, the
+  // confirmation and the loans from before its pause. The replaced primary is
+  // still reachable from the paused VM, and only from it, and lacks the rows
+  // written during the pause.
+  it('returns no stale response through a VM that was paused', async () => {
     const workspace = fleet.profile.workspaces[7];
     const former = (await fleet.primaryOf(DATABASE)) ?? '';
     const [paused, ...others] = fleet.vms;
@@ -239,14 +244,14 @@
       outcomeOf(connection, STRICT_READ),
     );
     const warm = (await Promise.all(warmUp)).map(({kind}) => kind);
-    const load = new Load(
+    const load = new StatementLoad(
       await Promise.all(
         [...fleet.vms, ...fleet.vms, ...fleet.vms].map(vm =>
           connect(vm, workspace),
         ),
       ),
     );
-    // Long enough for loans between the VMs.
+    // Leaves time for loans between the VMs.
     await new Promise(resolve => setTimeout(resolve, 1_000));
     paused?.child.signal('SIGSTOP');
     const pausedAt = Date.now();
@@ -254,35 +259,36 @@
       former,
       others.map(vm => vm.name),
     );
-    await until('a write on the new primary', async () => {
+    await waitUntil('a write on the new primary', async () => {
       const sql = `INSERT INTO batch VALUES (${MARKER_ID})`;
       return (await outcomeOf(elsewhere, sql)).kind === 'answered';
     });
-    const wakeAt = Math.max(pausedAt + PAUSE_MS, Date.now() + LOOKUP_AGE_MS);
-    // These wait in the sockets and are the first that the VM reads.
+    const resumeAt = Math.max(pausedAt + PAUSE_MS, Date.now() + LOOKUP_AGE_MS);
+    // The socket buffers hold these statements, so the VM reads them first
+    // after the pause.
     const first = [
       outcomeOf(strict, STRICT_READ),
       outcomeOf(aged, AGED_READ),
-      outcomeOf(writing, `INSERT INTO batch VALUES (${WAKING_ID})`),
+      outcomeOf(writing, `INSERT INTO batch VALUES (${RESUMED_WRITE_ID})`),
     ];
-    await new Promise(resolve => setTimeout(resolve, wakeAt - Date.now()));
+    await new Promise(resolve => setTimeout(resolve, resumeAt - Date.now()));
     const formerRole = (await fleet.stateOf(former))?.role;
     paused?.child.signal('SIGCONT');
     const [strictRead, agedRead, write] = await Promise.all(first);
     const reads = [strictRead, agedRead];
-    await until('an answer of the VM that was paused', async () => {
+    await waitUntil('a response through the VM that was paused', async () => {
       const read = await outcomeOf(strict, STRICT_READ);
       reads.push(read);
       return read.kind === 'answered';
     });
     await fleet.cut(former, []);
-    await untilAllFollow();
+    await waitUntilAllFollow();
     const excess = await load.excess(
       workspace?.rate ?? 0,
       workspace?.burst ?? 0,
     );
     const end = await outcomeOf(elsewhere, STRICT_READ);
-    const hasWritten = end.kind === 'answered' && end.ids.has(WAKING_ID);
+    const hasWritten = end.kind === 'answered' && end.ids.has(RESUMED_WRITE_ID);
     const kinds = [...reads, write].map(item => item?.kind).join(', ');
     console.log(`after the pause: ${kinds}`);
     expect({
--- a/packages/launcher/src/__tests__/forwarding.test.ts
+++ b/packages/launcher/src/__tests__/forwarding.test.ts
@@ -31,7 +31,7 @@
     owner = fleet.vms.find(
       vm => owners.includes(vm.name) && vm.dataCentre === forwarder.dataCentre,
     ) as RunningVm;
-    await untilServed();
+    await waitUntilServed();
   });
   afterAll(() => fleet.stop());
 
@@ -46,8 +46,8 @@
     });
   }
 
-  /** Waits until the forwarder has heard of an owner. */
-  async function untilServed(): Promise<void> {
+  /** Waits until the forwarder can reach an owner. */
+  async function waitUntilServed(): Promise<void> {
     const connection = await connect(forwarder);
     await vi.waitFor(
       () =>
@@ -60,8 +60,8 @@
   }
 
   // Guards against a transaction that is split between connections, and
-  // against a VM that cannot serve a group because the nearest owner died.
-  it('carries transactions, and goes on through another owner', async () => {
+  // against a VM that cannot serve a group after the nearest owner died.
+  it('forwards transactions, and through another owner if one dies', async () => {
     const connection = await connect(forwarder);
     await connection.query('BEGIN');
     await connection.query("INSERT INTO batch VALUES (1, 'A7')");
--- a/packages/launcher/src/__tests__/operators.test.ts
+++ b/packages/launcher/src/__tests__/operators.test.ts
@@ -43,7 +43,7 @@
     writeFileSync(join(folder, name), `[document]\n${reason}\n${body}`);
   }
 
-  function command(...args: string[]): Promise<CommandResult> {
+  function runCommand(...args: string[]): Promise<CommandResult> {
     const program = join(BUILD_FOLDER, 'pistachiorill.mjs');
     const common = ['--platform', fleet.platformUrl];
     return new Promise(resolve => {
@@ -53,41 +53,52 @@
         {cwd: folder},
         (err, stdout, stderr) => {
           const exitCode = Number(err?.code ?? 0);
-          resolve({exitCode, stdout: plain(stdout), stderr: plain(stderr)});
+          resolve({
+            exitCode,
+            stdout: withoutVariableParts(stdout),
+            stderr: withoutVariableParts(stderr),
+          });
         },
       );
     });
   }
 
-  // Guards against a document in production that trial has not seen, against
-  // two winners, and against a loser that is not told who won.
-  it('tries, promotes and refuses', async () => {
+  // Guards against a document that reaches production without a trial, against
+  // two concurrent promotions that both succeed, and against a refusal that
+  // does not name the promotion that succeeded.
+  it('runs a trial, promotes a document and refuses a conflict', async () => {
     const ann = ['--actor', 'ann'];
     const bob = ['--actor', 'bob', '--untried'];
     expect({
-      untried: await command('promote', 'next.ini', ...ann),
-      trial: await command('trial', 'next.ini', ...ann),
-      promoted: await command('promote', 'next.ini', ...ann),
-      loser: await command('promote', 'other.ini', ...bob, '--based-on', '1'),
-      repeated: await command('promote', 'next.ini', ...ann),
+      untried: await runCommand('promote', 'next.ini', ...ann),
+      trial: await runCommand('trial', 'next.ini', ...ann),
+      promoted: await runCommand('promote', 'next.ini', ...ann),
+      loser: await runCommand(
+        'promote',
+        'other.ini',
+        ...bob,
+        '--based-on',
+        '1',
+      ),
+      repeated: await runCommand('promote', 'next.ini', ...ann),
     }).toMatchSnapshot();
   });
 
-  // Guards against a status that misses a group or a VM.
+  // Guards against a status that omits a group or a VM.
   it('shows the status', async () => {
-    const {exitCode, stdout} = await command('status');
+    const {exitCode, stdout} = await runCommand('status');
     expect(stdout.match(/ primary /g)).toHaveLength(1);
-    // Which member the VMs have made primary, and in which term, may differ.
+    // The primary and its term differ from run to run.
     const shown = stdout
       .replace(/ (primary|replica) /g, ' <role>  ')
       .replace(/^( +wash-ledger-1 +)\d+/gm, '$1<term>');
     expect({exitCode, shown}).toMatchSnapshot();
   });
 
-  // Guards against a change that nobody can find later, and against a secret
-  // in the trail.
-  it('lists who changed what', async () => {
-    const {stdout} = await command('audit', '--json', '--limit', '1000');
+  // Guards against a change without an audit entry, and against a secret in
+  // the audit log.
+  it('lists the changes of an operator', async () => {
+    const {stdout} = await runCommand('audit', '--json', '--limit', '1000');
     const byOperators = stdout
       .split('\n')
       .filter(line => line.includes('"actor":"ann"'))
@@ -96,18 +107,18 @@
     expect(stdout).not.toMatch(/[0-9a-f]{40}/);
   });
 
-  // Guards against "nothing was changed" that is untrue, and against a command
-  // that hangs in an outage.
-  it.each(['outage', 'lost-answers'])('ends with the fault %s', async mode => {
+  // Guards against a command that reports "nothing was changed" although a
+  // change was made, and against one that hangs in an outage.
+  it.each(['outage', 'lost-answers'])('ends under fault %s', async mode => {
     await fleet.platformFault(mode);
-    const result = await command('promote', 'other.ini', '--untried');
+    const result = await runCommand('promote', 'other.ini', '--untried');
     await fleet.platformFault('none');
     expect(result).toMatchSnapshot();
   });
 });
 
-/** Replaces what differs from run to run. */
-function plain(text: string): string {
+/** Replaces hashes, ids and times, which differ from run to run. */
+function withoutVariableParts(text: string): string {
   return text
     .replace(/[0-9a-f]{64}/g, '<hash>')
     .replace(/[0-9a-f]{8}-[0-9a-f-]{27}/g, '<id>')
--- a/packages/launcher/src/__tests__/shares.test.ts
+++ b/packages/launcher/src/__tests__/shares.test.ts
@@ -8,8 +8,8 @@
 const BUILD_FOLDER = fileURLToPath(
   new URL('../../../../build', import.meta.url),
 );
-/** A reclaim takes 10 s until it starts and 6.6 s until it ends. */
-const LIMIT_MS = 40_000;
+/** A reclaim starts after 10 s and takes another 6.6 s. */
+const WAIT_MS = 40_000;
 const SAMPLE_MS = 40;
 const WHOLE_PPM = 1_000_000;
 
@@ -20,7 +20,7 @@
     {...AUTHORITY, vmCount: 4, databaseCount: 1},
     BUILD_FOLDER,
   );
-  /** The sum of the shares in each row version that was seen. */
+  /** The sum of the shares in each row version that was sampled. */
   const sums = new Map<number, number>();
 
   beforeAll(() => fleet.start());
@@ -39,9 +39,9 @@
     return Object.fromEntries(entries.map(e => [e.vm, e.sharePpm]));
   }
 
-  /** Samples the row until it is as expected; returns the last sample. */
-  async function until(isExpected: (shares: Shares) => boolean) {
-    const end = Date.now() + LIMIT_MS;
+  /** Samples the row until it meets the condition; returns the last sample. */
+  async function sampleUntil(isExpected: (shares: Shares) => boolean) {
+    const end = Date.now() + WAIT_MS;
     for (;;) {
       const shares = await readShares();
       if (isExpected(shares) || Date.now() > end) return shares;
@@ -49,37 +49,37 @@
     }
   }
 
-  function untilEven(vms: readonly string[]): Promise<Shares> {
+  function waitUntilEven(vms: readonly string[]): Promise<Shares> {
     const even = Math.floor(WHOLE_PPM / vms.length);
-    return until(
+    return sampleUntil(
       shares =>
         Object.keys(shares).length === vms.length &&
         vms.every(vm => shares[vm] === even),
     );
   }
 
-  async function untilHeld(vm: string, held: 'held' | 'not-held') {
+  async function waitUntilHeld(vm: string, held: 'held' | 'not-held') {
     const isHeld = (shares: Shares): boolean => (shares[vm] ?? 0) > 0;
-    const shares = await until(now => isHeld(now) === (held === 'held'));
+    const shares = await sampleUntil(now => isHeld(now) === (held === 'held'));
     return isHeld(shares) ? 'held' : 'not-held';
   }
 
-  // Guards against the share of a dead or drained VM that is lost to the
-  // others, and against shares that together exceed the whole. The VMs drain
-  // while the reclaim waits, which keeps the test short.
-  it('moves shares when VMs die, drain and return', async () => {
+  // Guards against a share of a dead or drained VM that is not given to the
+  // others, and against shares whose sum exceeds the whole. The VMs drain while
+  // the reclaim is pending, which keeps the test short.
+  it('redistributes shares when VMs die, drain and return', async () => {
     const [a = '', dead = '', b = '', c = ''] = fleet.vms.map(vm => vm.name);
-    const start = await untilEven([a, b, c, dead]);
+    const start = await waitUntilEven([a, b, c, dead]);
     await fleet.vms[1]?.child.kill();
     await fleet.promote({dataCentresOut: ['warner-c']});
-    const out = await untilHeld(c, 'not-held');
+    const out = await waitUntilHeld(c, 'not-held');
     await fleet.promote();
-    const back = await untilHeld(c, 'held');
+    const back = await waitUntilHeld(c, 'held');
     await fleet.listVms(fleet.vms, [a]);
-    const leaving = await untilHeld(a, 'not-held');
+    const leaving = await waitUntilHeld(a, 'not-held');
     await fleet.listVms();
-    const live = await untilHeld(a, 'held');
-    const end = await untilEven([a, b, c]);
+    const live = await waitUntilHeld(a, 'held');
+    const end = await waitUntilEven([a, b, c]);
     expect({start, out, back, leaving, live, end}).toMatchSnapshot();
     const excess = [...sums].filter(([, sum]) => sum > WHOLE_PPM);
     expect(excess).toEqual([]);
--- a/packages/launcher/src/__tests__/whole_path.test.ts
+++ b/packages/launcher/src/__tests__/whole_path.test.ts
@@ -32,7 +32,7 @@
   });
 }
 
-async function shown(call: Promise<unknown>): Promise<unknown> {
+async function resultOf(call: Promise<unknown>): Promise<unknown> {
   try {
     const [result] = (await call) as [unknown];
     return result;
@@ -55,7 +55,8 @@
   });
   afterAll(() => fleet.stop());
 
-  // Guards against a read on another VM that misses the session's own write.
+  // Guards against a read through another VM that does not return the
+  // session's own write.
   it('reads its own write through another VM', async () => {
     const writer = await connect(0);
     await writer.query(
@@ -64,7 +65,7 @@
     const [tokens] = await writer.query('SELECT @@pistachiorill_session');
     const token = Object.values((tokens as object[])[0] ?? {})[0] as string;
     const reader = await connect(1);
-    const rows = await shown(
+    const rows = await resultOf(
       reader.query(
         `/*route='lookup',session='${token}'*/ SELECT lot FROM batch`,
       ),
@@ -74,66 +75,71 @@
     await reader.end();
   });
 
-  // Guards against a request that runs twice when it is sent again through
+  // Guards against a request that is executed twice when it is resent through
   // another VM, and against an id that is reused for another statement.
-  it('runs a request id at most once', async () => {
+  it('executes a request id at most once', async () => {
     const first = await connect(0);
     const second = await connect(1);
     const release = (lot: string): string =>
       `/*route='release',request_id='r-2'*/ INSERT INTO batch VALUES (2, '${lot}')`;
     const results = [
-      await shown(first.query(release('B1'))),
-      await shown(second.query(release('B1'))),
-      await shown(second.query(release('B2'))),
-      await shown(first.query('SELECT lot FROM batch WHERE id = 2')),
+      await resultOf(first.query(release('B1'))),
+      await resultOf(second.query(release('B1'))),
+      await resultOf(second.query(release('B2'))),
+      await resultOf(first.query('SELECT lot FROM batch WHERE id = 2')),
     ];
     expect(results).toMatchSnapshot();
     await first.end();
     await second.end();
   });
 
-  // Guards against a transaction that another caller sees or joins.
-  it('keeps transactions of different callers apart', async () => {
+  // Guards against a transaction whose changes another caller can read or
+  // whose connection it shares.
+  it('isolates the transactions of different callers', async () => {
     const one = await connect(0);
     const two = await connect(0, {workspace: 1});
     await one.query('BEGIN');
     await one.query("INSERT INTO batch VALUES (3, 'open')");
     const results = {
-      inside: await shown(one.query('SELECT lot FROM batch WHERE id = 3')),
-      outside: await shown(two.query('SELECT lot FROM batch WHERE id = 3')),
-      rollback: await shown(one.query('ROLLBACK')),
-      after: await shown(one.query('SELECT lot FROM batch WHERE id = 3')),
+      inside: await resultOf(one.query('SELECT lot FROM batch WHERE id = 3')),
+      outside: await resultOf(two.query('SELECT lot FROM batch WHERE id = 3')),
+      rollback: await resultOf(one.query('ROLLBACK')),
+      after: await resultOf(one.query('SELECT lot FROM batch WHERE id = 3')),
     };
     expect(results).toMatchSnapshot();
     await one.end();
     await two.end();
   });
 
-  // Guards against bad input that is answered unclearly or reaches others.
-  it('refuses bad input with a clear error', async () => {
+  // Guards against invalid input that gets an unclear error or affects other
+  // statements.
+  it('refuses invalid input with a clear error', async () => {
     const caller = await connect(2);
     const anonymous = await connect(2, {password: ''});
     const results = {
-      key: await shown(connect(2, {password: 'wrong'})),
-      database: await shown(
+      key: await resultOf(connect(2, {password: 'wrong'})),
+      database: await resultOf(
         connect(2, {database: 'nothing'}).then(c => c.query('SELECT 1')),
       ),
-      route: await shown(caller.query("/*route='none'*/ SELECT 1")),
-      options: await shown(caller.query("/*sesion='t'*/ SELECT 1")),
-      prepared: await shown(caller.execute('SELECT ?', [1])),
-      syntax: await shown(caller.query('SELECT FROM WHERE')),
-      large: await shown(caller.query(`SELECT '${'x'.repeat(1_100_000)}'`)),
-      open: await shown(anonymous.query("/*route='public'*/ SELECT 1 AS one")),
-      keyed: await shown(anonymous.query('SELECT 1')),
-      afterwards: await shown(caller.query('SELECT 1 AS one')),
+      route: await resultOf(caller.query("/*route='none'*/ SELECT 1")),
+      options: await resultOf(caller.query("/*sesion='t'*/ SELECT 1")),
+      prepared: await resultOf(caller.execute('SELECT ?', [1])),
+      syntax: await resultOf(caller.query('SELECT FROM WHERE')),
+      large: await resultOf(caller.query(`SELECT '${'x'.repeat(1_100_000)}'`)),
+      open: await resultOf(
+        anonymous.query("/*route='public'*/ SELECT 1 AS one"),
+      ),
+      keyed: await resultOf(anonymous.query('SELECT 1')),
+      afterwards: await resultOf(caller.query('SELECT 1 AS one')),
     };
     expect(results).toMatchSnapshot();
     await caller.end();
     await anonymous.end();
   });
 
-  // Guards against a damaged stream that stops the VM or another caller.
-  it('survives damaged and half-open connections', async () => {
+  // Guards against a malformed stream that stops the VM or affects another
+  // caller.
+  it('survives malformed and half-open connections', async () => {
     const port = fleet.vms[2]?.clientPort ?? 0;
     const silent = connectSocket(port, '127.0.0.1');
     const garbage = connectSocket(port, '127.0.0.1');
@@ -143,7 +149,7 @@
     garbage.end(Buffer.alloc(64, 0xff));
     await closed;
     const caller = await connect(2);
-    expect(await shown(caller.query('SELECT 1 AS one'))).toMatchSnapshot();
+    expect(await resultOf(caller.query('SELECT 1 AS one'))).toMatchSnapshot();
     await caller.end();
     silent.destroy();
   });
@@ -157,8 +163,10 @@
     await fleet.vms[1]?.child.kill();
     const other = await connect(0);
     const results = {
-      insert: await shown(other.query("INSERT INTO batch VALUES (9, 'kept')")),
-      rows: await shown(other.query('SELECT lot FROM batch WHERE id = 9')),
+      insert: await resultOf(
+        other.query("INSERT INTO batch VALUES (9, 'kept')"),
+      ),
+      rows: await resultOf(other.query('SELECT lot FROM batch WHERE id = 9')),
     };
     expect(results).toMatchSnapshot();
     await other.end();
--- a/packages/launcher/src/__tests__/writers.ts
+++ b/packages/launcher/src/__tests__/writers.ts
@@ -1,10 +1,10 @@
 import type {Connection} from 'mysql2/promise';
 
-/** Writes numbered rows through each VM and keeps what was acknowledged. */
+/** Writes numbered rows on each connection and records acknowledged ones. */
 export class Writers {
   readonly acknowledged: Array<{id: number; begunAt: number; at: number}> = [];
   failures = 0;
-  /** Shared, since each row is written once in the whole run. */
+  /** Shared by all instances, as each id is written once in a test run. */
   private static nextId = 1;
   private state: 'running' | 'stopped' = 'running';
   private readonly loops: Array<Promise<void>>;
--- a/packages/launcher/src/child.ts
+++ b/packages/launcher/src/child.ts
@@ -2,9 +2,9 @@
 import type {ChildProcess} from 'node:child_process';
 
 const START_TIMEOUT_MS = 15_000;
-const KEPT_OUTPUT_LINES = 200;
+const MAX_OUTPUT_CHUNKS = 200;
 
-/** A process that was started from a bundled program. */
+/** A Node.js process that runs a bundled program. */
 export class Child {
   private readonly output: string[] = [];
   private readonly exited: Promise<number | null>;
@@ -16,11 +16,14 @@
     this.exited = new Promise(resolve => child.once('exit', resolve));
     for (const stream of [child.stdout, child.stderr]) {
       stream?.setEncoding('utf8');
-      stream?.on('data', text => this.keep(String(text)));
+      stream?.on('data', text => this.appendOutput(String(text)));
     }
   }
 
-  /** Starts a program and waits until its output contains `readyText`. */
+  /**
+   * Starts a program and waits until its output contains `readyText`. Throws if
+   * the process exits before or does not print the text in time.
+   */
   static async start(
     name: string,
     program: string,
@@ -33,7 +36,7 @@
         stdio: ['ignore', 'pipe', 'pipe'],
       }),
     );
-    await child.untilOutput(readyText);
+    await child.waitForOutput(readyText);
     return child;
   }
 
@@ -48,23 +51,23 @@
     return this.exited;
   }
 
-  /** Kills the process and waits until it is gone. */
+  /** Sends SIGKILL and waits until the process has exited. */
   async kill(): Promise<void> {
     this.child.kill('SIGKILL');
     await this.exited;
   }
 
-  /** The last lines of the process's output. */
+  /** The most recent output of the process. */
   get log(): string {
     return this.output.join('');
   }
 
-  private keep(text: string): void {
+  private appendOutput(text: string): void {
     this.output.push(text);
-    if (this.output.length > KEPT_OUTPUT_LINES) this.output.shift();
+    if (this.output.length > MAX_OUTPUT_CHUNKS) this.output.shift();
   }
 
-  private async untilOutput(text: string): Promise<void> {
+  private async waitForOutput(text: string): Promise<void> {
     const until = Date.now() + START_TIMEOUT_MS;
     while (!this.log.includes(text)) {
       if (this.child.exitCode !== null || Date.now() > until) {
--- a/packages/launcher/src/fleet.ts
+++ b/packages/launcher/src/fleet.ts
@@ -29,18 +29,24 @@
 export interface RunningVm {
   readonly name: string;
   readonly dataCentre: string;
+  /** Port of the MySQL protocol. */
   readonly clientPort: number;
+  /** Port of readiness, status and metrics. */
   readonly httpPort: number;
+  /** Port of the connections between VMs. */
   readonly peerPort: number;
   readonly child: Child;
 }
 
-/** The platform, the groups and the entry VMs of one profile as processes. */
+/** The processes of one profile: the platform, the groups and the entry VMs. */
 export class Fleet {
+  /** Member processes, by name. */
   readonly members = new Map<string, Child>();
+  /** Addresses of members, or of the links in front of them, by member. */
   readonly addresses = new Map<string, string>();
+  /** The running VMs, sorted by name after `start`. */
   readonly vms: RunningVm[] = [];
-  private readonly linkChildren: Child[] = [];
+  private readonly linkProcesses: Child[] = [];
   private readonly linkFaultPorts = new Map<string, number>();
   private readonly memberArgs = new Map<string, readonly string[]>();
   private readonly folder = mkdtempSync(join(tmpdir(), 'pistachiorill-'));
@@ -48,8 +54,9 @@
   platformUrl = '';
 
   /**
-   * `buildFolder` holds the bundled programs. With `links`, the VMs and the
-   * members reach each member through a relay that can be cut.
+   * `buildFolder` contains the bundled programs. With `links` set to `members`,
+   * the VMs and the members connect to each member through a relay that can cut
+   * the connections.
    */
   constructor(
     readonly profile: Profile,
@@ -58,11 +65,11 @@
     private readonly links: 'none' | 'members' = 'none',
   ) {}
 
-  /** Starts everything and waits until all VMs are ready. */
+  /** Starts all processes and waits for ready VMs and a primary in each group. */
   async start(): Promise<void> {
     const [platformPort] = await findFreePorts(1);
     this.platformUrl = `http://127.0.0.1:${platformPort}`;
-    this.platform = await this.standin('platform', [
+    this.platform = await this.startStandin('platform', [
       'platform',
       '--port',
       String(platformPort),
@@ -73,12 +80,15 @@
     if (this.vms.length > 0) await this.untilPrimaries();
   }
 
-  /** The document of this fleet with the given changes. */
+  /** Renders the operators' document of this fleet with the given changes. */
   document(changes: DocumentChanges = {}): string {
     return writeDocument(this.profile, this.addresses, changes);
   }
 
-  /** Promotes a document with the given changes. */
+  /**
+   * Promotes a document with the given changes to production and returns its
+   * version. Does not wait until the VMs apply it.
+   */
   async promote(changes: DocumentChanges = {}): Promise<number> {
     const body = this.document(changes);
     const endpoint = {
@@ -107,17 +117,17 @@
       },
     );
     if (outcome.kind !== 'promoted' && outcome.kind !== 'already-in-force') {
-      throw new Error(`promotion failed: ${outcome.kind}`);
+      throw new Error(`promotion of the document failed: ${outcome.kind}`);
     }
     return outcome.version;
   }
 
-  /** Kills everything. */
+  /** Kills all processes and removes their data. */
   async stop(): Promise<void> {
     const children = [
       ...this.vms.map(vm => vm.child),
       ...this.members.values(),
-      ...this.linkChildren,
+      ...this.linkProcesses,
       ...(this.platform ? [this.platform] : []),
     ];
     await Promise.all(children.map(child => child.kill()));
@@ -154,13 +164,16 @@
           join(this.folder, name),
         ];
         this.memberArgs.set(name, args);
-        this.members.set(name, await this.standin(name, args));
+        this.members.set(name, await this.startStandin(name, args));
         if (this.links === 'members') await this.startLink(name);
       }),
     );
   }
 
-  /** Cuts a member from these VMs, and from no other. */
+  /**
+   * Cuts the connections between a member and the given VMs, and restores those
+   * of all other VMs. Requires `links`.
+   */
   async cut(member: string, vms: readonly string[]): Promise<void> {
     const port = this.linkFaultPorts.get(member) ?? 0;
     await fetch(`http://127.0.0.1:${port}/faults`, {
@@ -171,14 +184,17 @@
     });
   }
 
-  /** The address from which a VM connects to members, by its number. */
+  /**
+   * The address from which a VM connects to members. It contains the number of
+   * the VM, so that a link can tell the VMs apart.
+   */
   private localAddressOf(vm: string): string {
     return `127.0.1.${vm.split('-').at(-1)}`;
   }
 
   private async startLink(member: string): Promise<void> {
     const [port = 0, faultPort = 0] = await findFreePorts(2);
-    const child = await this.standin(`link-${member}`, [
+    const child = await this.startStandin(`link-${member}`, [
       'link',
       '--port',
       String(port),
@@ -187,31 +203,31 @@
       '--fault-port',
       String(faultPort),
     ]);
-    this.linkChildren.push(child);
+    this.linkProcesses.push(child);
     this.linkFaultPorts.set(member, faultPort);
     this.addresses.set(member, `127.0.0.1:${port}`);
   }
 
-  /** Starts a member again that was killed, with the data that it kept. */
+  /** Restarts a killed member with its stored data. */
   async restartMember(name: string): Promise<void> {
     const args = this.memberArgs.get(name) ?? [];
-    this.members.set(name, await this.standin(name, args));
+    this.members.set(name, await this.startStandin(name, args));
   }
 
-  /** Starts a VM again that was stopped, with the same addresses. */
+  /** Restarts a stopped VM with the same ports. */
   async restartVm(name: string): Promise<void> {
     const index = this.vms.findIndex(vm => vm.name === name);
     const [vm] = this.vms.splice(index, 1);
     if (vm) await this.startVm(vm);
   }
 
-  /** Makes the platform answer in another way, such as `outage`. */
+  /** Sets the fault mode of the platform, such as `outage`; `none` ends it. */
   async platformFault(mode: string): Promise<void> {
     const body = JSON.stringify({mode});
     await fetch(`${this.platformUrl}/faults`, {method: 'POST', body});
   }
 
-  /** Waits until the VMs have given each group a primary that all follow. */
+  /** Waits until each group has a primary whose term all members have. */
   async untilPrimaries(): Promise<void> {
     const until = Date.now() + PRIMARY_TIMEOUT_MS;
     for (const database of databaseNames(this.profile)) {
@@ -222,7 +238,7 @@
     }
   }
 
-  /** Returns the primary of a group once all members operate in its term. */
+  /** Returns the primary of a group if all members have the same term. */
   async primaryOf(database: string): Promise<string | undefined> {
     const names = this.profile.dataCentres.map(dataCentre =>
       memberName(database, dataCentre),
@@ -233,11 +249,11 @@
     return terms.size === 1 ? names[index] : undefined;
   }
 
-  /** Asks a member for its state. */
+  /** Queries the state of a member; undefined if the member does not respond. */
   async stateOf(member: string): Promise<MemberState | undefined> {
-    const control = this.control(member);
-    const state = await control.state();
-    control.close();
+    const openControl = this.control(member);
+    const state = await openControl.state();
+    openControl.close();
     return state.ok ? state.value : undefined;
   }
 
@@ -273,7 +289,7 @@
     this.vms.sort((a, b) => (a.name < b.name ? -1 : 1));
   }
 
-  /** Puts the VMs on the platform's list. */
+  /** Replaces the platform's VM list; VMs in `leaving` are listed as such. */
   async listVms(
     vms: ReadonlyArray<Omit<RunningVm, 'child'>> = this.vms,
     leaving: readonly string[] = [],
@@ -293,7 +309,7 @@
 
   private async startVm(vm: Omit<RunningVm, 'child'>): Promise<void> {
     const settings = join(this.folder, `${vm.name}.ini`);
-    writeFileSync(settings, this.settingsOf(vm));
+    writeFileSync(settings, this.renderSettings(vm));
     const [program = '', ...args] = [
       ...(this.profile.vmNodeOptions ?? []),
       join(this.buildFolder, 'pistachiorill.mjs'),
@@ -303,10 +319,10 @@
     ];
     const child = await Child.start(vm.name, program, args, 'entry started');
     this.vms.push({...vm, child});
-    await untilReady(vm.httpPort);
+    await waitUntilReady(vm.httpPort);
   }
 
-  private settingsOf(vm: Omit<RunningVm, 'child'>): string {
+  private renderSettings(vm: Omit<RunningVm, 'child'>): string {
     return [
       '[vm]',
       `name = ${vm.name}`,
@@ -335,13 +351,13 @@
     ].join('\n');
   }
 
-  private standin(name: string, args: readonly string[]): Promise<Child> {
+  private startStandin(name: string, args: readonly string[]): Promise<Child> {
     const program = join(this.buildFolder, 'standins.mjs');
     return Child.start(name, program, args, 'listens on');
   }
 }
 
-async function untilReady(httpPort: number): Promise<void> {
+async function waitUntilReady(httpPort: number): Promise<void> {
   const until = Date.now() + READY_TIMEOUT_MS;
   for (;;) {
     const res = await fetch(`http://127.0.0.1:${httpPort}/readyz`);
--- a/packages/launcher/src/free_ports.ts
+++ b/packages/launcher/src/free_ports.ts
@@ -3,28 +3,29 @@
 import type {Server} from 'node:net';
 
 /**
- * The ports that are used. Ports of outgoing connections start at 32,768 on
- * Linux; one of those could take a port between its test and its use.
+ * The first of the ports that are used. All of them are below 32,768, where the
+ * ports of outgoing connections start on Linux; an outgoing connection could
+ * otherwise take a port between the check and its use.
  */
 const FIRST_PORT = 12_000;
 const BLOCK_COUNT = 100;
 const BLOCK_SIZE = 200;
 const HOST = '127.0.0.1';
 
-/** The ports of the present block that were not tried yet. */
-let untried: number[] = [];
+/** The ports of the current block that were not checked yet. */
+let uncheckedPorts: number[] = [];
 
 /**
- * Finds ports on the loopback address that are free. Fleets of several
- * processes run at the same time, so each process claims whole blocks of ports
- * by listening on the first port of a block until it ends.
+ * Finds free ports on the loopback address. Several processes can start fleets
+ * at the same time, so each process reserves whole blocks of ports: it listens
+ * on the first port of a block until it exits.
  */
 export async function findFreePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
   while (ports.length < count) {
-    const port = untried.shift();
+    const port = uncheckedPorts.shift();
     if (port === undefined) {
-      untried = await claimBlock();
+      uncheckedPorts = await reserveBlock();
     } else if (await isFree(port)) {
       ports.push(port);
     }
@@ -32,16 +33,16 @@
   return ports;
 }
 
-/** Claims a block and returns its ports after the first. */
-async function claimBlock(): Promise<number[]> {
+/** Reserves a random block and returns its ports after the first. */
+async function reserveBlock(): Promise<number[]> {
   for (;;) {
-    const first = FIRST_PORT + randomInt(BLOCK_COUNT) * BLOCK_SIZE;
-    const claim = await listen(first);
-    if (!claim) continue;
-    claim.unref();
+    const firstPort = FIRST_PORT + randomInt(BLOCK_COUNT) * BLOCK_SIZE;
+    const reservation = await listen(firstPort);
+    if (!reservation) continue;
+    reservation.unref();
     return Array.from(
       {length: BLOCK_SIZE - 1},
-      (unused, index) => first + 1 + index,
+      (unused, index) => firstPort + 1 + index,
     );
   }
 }
--- a/packages/launcher/src/index.ts
+++ b/packages/launcher/src/index.ts
@@ -1,4 +1,4 @@
-/** Starts stand-ins and entry VMs as processes for the demo, tests and experiments. */
+/** Starts stand-ins and entry VMs as processes, for the demo, tests and experiments. */
 export {Child} from './child.js';
 export {Fleet} from './fleet.js';
 export {findFreePorts} from './free_ports.js';
--- a/packages/launcher/src/measure/forwarding.ts
+++ b/packages/launcher/src/measure/forwarding.ts
@@ -1,6 +1,7 @@
 /**
- * Measures statements through VMs that own the connections to a group and
- * through VMs that forward, for the default of the routing mode.
+ * Compares the latency and throughput of statements through VMs that own the
+ * connections to a group and through VMs that forward. The default of the
+ * routing mode rests on these figures.
  */
 import {fileURLToPath} from 'node:url';
 import {groupOwners} from '@pistachiorill/core';
@@ -26,7 +27,7 @@
   readonly database: string;
 }
 
-interface Figures {
+interface Measurement {
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly perSecond: number;
@@ -52,7 +53,7 @@
   });
 }
 
-async function measure(item: Case): Promise<Figures> {
+async function measure(item: Case): Promise<Measurement> {
   const latencies: number[] = [];
   let errors = 0;
   const start = performance.now() + WARM_UP_MS;
@@ -85,7 +86,7 @@
   };
 }
 
-async function casesOf(mode: RoutingMode, fleet: Fleet): Promise<Case[]> {
+async function createCases(mode: RoutingMode, fleet: Fleet): Promise<Case[]> {
   const database = `${AUTHORITY.service}-1`;
   const owners = groupOwners(
     {database, connectionLimit: AUTHORITY.connectionLimit},
@@ -96,12 +97,12 @@
     owners.some(owner => owner.vm === vm.name);
   const owner = fleet.vms.find(isOwner) as RunningVm;
   const forwarder = fleet.vms.find(vm => !isOwner(vm));
-  const ways: Array<readonly [string, readonly RunningVm[]]> = [
+  const paths: Array<readonly [string, readonly RunningVm[]]> = [
     [mode === 'direct' ? 'one VM' : 'the owner', [owner]],
     ...(forwarder ? [['a forwarder', [forwarder]] as const] : []),
     ['all VMs', fleet.vms],
   ];
-  return ways.flatMap(([via, vms]) =>
+  return paths.flatMap(([via, vms]) =>
     (['read', 'write'] as const).flatMap(access =>
       (vms.length > 1 ? [24] : [1, 8]).map(connections => ({
         mode,
@@ -117,7 +118,7 @@
 
 async function measureFleet(
   mode: RoutingMode,
-  results: Map<string, Figures[]>,
+  results: Map<string, Measurement[]>,
 ): Promise<void> {
   const fleet = new Fleet(AUTHORITY, BUILD_FOLDER, mode);
   await fleet.start();
@@ -127,9 +128,9 @@
     await setup.query('CREATE TABLE batch (id INTEGER PRIMARY KEY, lot TEXT)');
     await setup.query("/*route='release'*/ INSERT INTO batch VALUES (0, 'A7')");
     await setup.end();
-    // Lets the VMs hear of each other and the connections settle.
+    // The VMs need time to discover each other and to open their connections.
     await new Promise(resolve => setTimeout(resolve, 4_000));
-    for (const item of await casesOf(mode, fleet)) {
+    for (const item of await createCases(mode, fleet)) {
       const key = `${mode} | ${item.via} | ${item.access} | ${item.connections}`;
       const figures = await measure(item);
       results.set(key, [...(results.get(key) ?? []), figures]);
@@ -144,7 +145,7 @@
   return (sorted[Math.floor(sorted.length / 2)] ?? NaN).toFixed(2);
 }
 
-const results = new Map<string, Figures[]>();
+const results = new Map<string, Measurement[]>();
 for (let round = 0; round < ROUNDS; round++) {
   await measureFleet('direct', results);
   await measureFleet('owners', results);
@@ -155,7 +156,7 @@
 );
 console.log('|---|---|---|---|---|---|---|---|');
 for (const [key, figures] of results) {
-  const column = (name: keyof Figures): string =>
+  const column = (name: keyof Measurement): string =>
     median(figures.map(item => item[name]));
   console.log(
     `| ${key} | ${column('p50Ms')} | ${column('p99Ms')} | ${column('perSecond')} | ${column('errors')} |`,
--- a/packages/launcher/src/write_document.ts
+++ b/packages/launcher/src/write_document.ts
@@ -1,21 +1,22 @@
 import {verifierOf} from '@pistachiorill/mysql';
 import type {Profile} from './profile.js';
 
-/** What a document states beyond its profile. */
+/** How a document differs from the one that its profile describes. */
 export interface DocumentChanges {
   readonly dataCentresOut?: readonly string[];
   readonly leavingServers?: readonly string[];
   readonly withdrawnWorkspaces?: readonly string[];
 }
 
-/** The address of each backend server, by name. */
+/** Addresses of backend servers, by name. */
 export type ServerAddresses = ReadonlyMap<string, string>;
 
-/** Name of the member of a database in the given data centre. */
+/** Returns the name of a database's member in a data centre. */
 export function memberName(database: string, dataCentre: string): string {
   return `${database}-${dataCentre}`;
 }
 
+/** Returns the names of all databases of a profile. */
 export function databaseNames(profile: Profile): string[] {
   return Array.from(
     {length: profile.databaseCount},
@@ -23,7 +24,10 @@
   );
 }
 
-/** Writes the operators' document of a profile. */
+/**
+ * Renders the operators' document of a profile: data centres, backend servers,
+ * databases, keys, workspaces and routes.
+ */
 export function writeDocument(
   profile: Profile,
   addresses: ServerAddresses,
