--- a/packages/launcher/src/child.ts
+++ b/packages/launcher/src/child.ts
@@ -16,7 +16,7 @@
     this.exited = new Promise(resolve => child.once('exit', resolve));
     for (const stream of [child.stdout, child.stderr]) {
       stream?.setEncoding('utf8');
-      stream?.on('data', text => this.appendOutput(String(text)));
+      stream?.on('data', text => this.keep(String(text)));
     }
   }
 
@@ -62,7 +62,8 @@
     return this.output.join('');
   }
 
-  private appendOutput(text: string): void {
+  /** Appends output and drops the oldest chunk beyond the limit. */
+  private keep(text: string): void {
     this.output.push(text);
     if (this.output.length > MAX_OUTPUT_CHUNKS) this.output.shift();
   }
