--- a/packages/experiment/src/commands/run_cost.ts
+++ b/packages/experiment/src/commands/run_cost.ts
@@ -4,13 +4,18 @@
 import {measurePath} from '../cost/path_cost.js';
 import {textTable} from '../report/text_table.js';
 
+/** The command line flags of a cost measurement. */
 export interface CostFlags {
+  /** Folder for `cost.json`; without it nothing is written. */
   readonly out: string | undefined;
-  /** Folder for CPU profiles of the VM. */
+  /** Folder for CPU profiles of the VM; without it none are recorded. */
   readonly cpuProf: string | undefined;
 }
 
-/** Measures the cost of the path and of the decisions. */
+/**
+ * Measures the cost of statements through a VM and of the decisions for each
+ * statement, prints the tables and returns the exit code.
+ */
 export async function runCost(
   flags: CostFlags,
   buildFolder: string,
--- a/packages/experiment/src/commands/run_experiment.ts
+++ b/packages/experiment/src/commands/run_experiment.ts
@@ -21,17 +21,23 @@
 
 const DEFAULT_DURATION_MS = 20_000;
 const QUICK_DURATION_MS = 3_500;
-/** Fleets that run at a time in a quick run, whose figures are rough. */
+/** Concurrent fleets in a quick run, whose figures are imprecise. */
 const QUICK_CONCURRENCY = 3;
 
+/** The command line flags of an experiment. */
 export interface ExperimentFlags {
   readonly profile: string;
+  /** Name of a scenario, or `all`. */
   readonly scenario: string;
   readonly seed: number;
+  /** Folder for the reports; without it none are written. */
   readonly out: string | undefined;
+  /** Path of the `report.json` of an earlier run to compare with. */
   readonly baseline: string | undefined;
   readonly durationMs: number | undefined;
+  /** Runs all scenarios with smaller fleets and a shorter load. */
   readonly quick: boolean;
+  /** Also runs each scenario with the baseline policies. */
   readonly compare: boolean;
 }
 
@@ -40,7 +46,10 @@
   readonly baseline: Baseline | undefined;
 }
 
-/** Runs scenarios and reports them. Returns the exit code. */
+/**
+ * Runs scenarios and reports the results. Returns the exit code: 1 if a run
+ * with the default policies violates consistency, 2 for an unknown name.
+ */
 export async function runExperiment(
   flags: ExperimentFlags,
   buildFolder: string,
@@ -53,17 +62,19 @@
       flags.quick || flags.scenario === 'all' || flags.scenario === name,
   );
   if (!profile || scenarios.length === 0) {
-    console.error(`unknown profile ${flags.profile} or ${flags.scenario}`);
+    console.error(
+      `unknown profile ${flags.profile} or scenario ${flags.scenario}`,
+    );
     return 2;
   }
   const baselines = flags.compare
-    ? [undefined, ...BASELINES.filter(item => item.state === 'wired')]
+    ? [undefined, ...BASELINES.filter(item => item.state === 'implemented')]
     : [undefined];
-  const planned = scenarios.flatMap(scenario =>
+  const plannedRuns = scenarios.flatMap(scenario =>
     baselines.map(baseline => ({scenario, baseline})),
   );
-  const runs = await runAll(planned, flags, profile, buildFolder);
-  print(runs, flags);
+  const runs = await runAll(plannedRuns, flags, profile, buildFolder);
+  printReports(runs, flags);
   if (flags.out !== undefined) await writeReports(runs, flags.out);
   const violated = runs.some(
     run =>
@@ -79,16 +90,16 @@
   buildFolder: string,
 ): Promise<ScenarioRun[]> {
   const runs = new Map<PlannedRun, ScenarioRun>();
-  const waiting = [...planned];
-  const work = async (): Promise<void> => {
-    for (let next = waiting.shift(); next; next = waiting.shift()) {
+  const pendingRuns = [...planned];
+  const runNext = async (): Promise<void> => {
+    for (let next = pendingRuns.shift(); next; next = pendingRuns.shift()) {
       const run = await runOne(next, flags, profile, buildFolder);
       console.error(`${titleOf(run)}: ${run.outcome.kind}`);
       runs.set(next, run);
     }
   };
   const concurrency = flags.quick ? QUICK_CONCURRENCY : 1;
-  await Promise.all(Array.from({length: concurrency}, work));
+  await Promise.all(Array.from({length: concurrency}, runNext));
   return planned.flatMap(item => runs.get(item) ?? []);
 }
 
@@ -110,14 +121,17 @@
   });
 }
 
-function print(runs: readonly ScenarioRun[], flags: ExperimentFlags): void {
+function printReports(
+  runs: readonly ScenarioRun[],
+  flags: ExperimentFlags,
+): void {
   console.log(textTable(measuresTable(runs)));
   console.log(`\n${textTable(checkTable(runs))}`);
   for (const run of runs) {
     for (const note of notesOf(run)) console.log(`${titleOf(run)}: ${note}`);
   }
   if (flags.compare) {
-    const missing = BASELINES.filter(item => item.state === 'not-wired');
+    const missing = BASELINES.filter(item => item.state === 'not-implemented');
     console.log('\nbaseline / default');
     console.log(textTable(ratioTable(pairWithDefault(runs))));
     for (const {name} of missing) console.log(`${name}: not available`);
--- a/packages/experiment/src/cost/closed_loop.ts
+++ b/packages/experiment/src/cost/closed_loop.ts
@@ -1,7 +1,7 @@
 import {performance} from 'node:perf_hooks';
 import {build} from 'hdr-histogram-js';
 
-/** Throughput and latency of one closed loop. */
+/** Throughput and latency of a closed loop. */
 export interface LoopResult {
   readonly statements: number;
   readonly statementsPerSecond: number;
@@ -9,7 +9,10 @@
   readonly p99Ms: number;
 }
 
-/** Runs each worker's calls one after the other for a while. */
+/**
+ * Calls all workers concurrently; each worker is called again as soon as its
+ * previous call returns, until the duration has passed.
+ */
 export async function runClosedLoop(
   workers: ReadonlyArray<() => Promise<unknown>>,
   durationMs: number,
--- a/packages/experiment/src/cost/decision_cost.ts
+++ b/packages/experiment/src/cost/decision_cost.ts
@@ -16,7 +16,7 @@
 const WARM_UP_CALLS = 20_000;
 const ROUNDS = 5;
 const ROUND_MS = 60;
-const BATCH = 200;
+const BATCH_CALLS = 200;
 const MEMBER_COUNTS = [3, 5, 9, 33];
 const WORKSPACE_COUNTS = [8, 80, 800, 8_000];
 const ROUTE_COUNTS = [5, 50, 500];
@@ -24,7 +24,7 @@
 const SAMPLE_COUNT = 64;
 const NOW = 10_000;
 
-/** The time that one decision takes at one size. */
+/** How long a decision takes for a configuration of the given size. */
 export interface DecisionCost {
   readonly decision: 'choose-member' | 'match-route';
   readonly size: string;
@@ -32,36 +32,40 @@
   readonly nanoseconds: number;
 }
 
-/** Times the decisions that run for each statement. */
+/** Measures the decisions that are made for each statement. */
 export function measureDecisions(): DecisionCost[] {
   return [
     ...MEMBER_COUNTS.map(members => ({
       decision: 'choose-member' as const,
       size: `${members} members`,
-      nanoseconds: time(chooseMember(members)),
+      nanoseconds: medianNanoseconds(chooseMember(members)),
     })),
     ...WORKSPACE_COUNTS.map(workspaces => ({
       decision: 'match-route' as const,
       size: `${workspaces} workspaces, ${ROUTE_COUNTS[0]} routes`,
-      nanoseconds: time(matchRoute(workspaces, ROUTE_COUNTS[0] ?? 0)),
+      nanoseconds: medianNanoseconds(
+        matchRoute(workspaces, ROUTE_COUNTS[0] ?? 0),
+      ),
     })),
     ...ROUTE_COUNTS.map(routes => ({
       decision: 'match-route' as const,
       size: `${WORKSPACE_COUNTS[0]} workspaces, ${routes} routes`,
-      nanoseconds: time(matchRoute(WORKSPACE_COUNTS[0] ?? 0, routes)),
+      nanoseconds: medianNanoseconds(
+        matchRoute(WORKSPACE_COUNTS[0] ?? 0, routes),
+      ),
     })),
   ];
 }
 
-/** Returns the median time of a call in nanoseconds. */
-function time(call: () => unknown): number {
+/** Returns the time of a call in nanoseconds, as the median of the rounds. */
+function medianNanoseconds(call: () => unknown): number {
   for (let count = 0; count < WARM_UP_CALLS; count += 1) call();
   const rounds = Array.from({length: ROUNDS}, () => {
     const start = performance.now();
     let calls = 0;
     while (performance.now() - start < ROUND_MS) {
-      for (let count = 0; count < BATCH; count += 1) call();
-      calls += BATCH;
+      for (let count = 0; count < BATCH_CALLS; count += 1) call();
+      calls += BATCH_CALLS;
     }
     return ((performance.now() - start) * 1e6) / calls;
   });
@@ -113,7 +117,7 @@
   return () => policy.choose(request, view, freshness, random, NOW);
 }
 
-/** Asks for the last workspace and route, which a search finds last. */
+/** Matches the last workspace and route, the worst case of a linear search. */
 function matchRoute(workspaceCount: number, routeCount: number): () => unknown {
   const routes = Array.from({length: routeCount}, (unused, index) => ({
     ...DEFAULT_ROUTE,
--- a/packages/experiment/src/cost/path_cost.ts
+++ b/packages/experiment/src/cost/path_cost.ts
@@ -12,20 +12,21 @@
 
 const ROUND_MS = 1_500;
 const WARM_UP_MS = 500;
-/** Direct and proxied rounds alternate, so that both see the same machine. */
+/** Direct and proxied rounds alternate, so that both have the same conditions. */
 const ROUNDS = 3;
 const CONCURRENCY = [1, 16];
-/** Beyond any rate that the loops reach. */
+/** Higher than any rate that the loops reach. */
 const UNLIMITED_RATE = 1_000_000;
 
 const PROFILE: Profile = {
   ...AUTHORITY,
-  // One replica, so that a stale read has only one member to go to.
+  // With one replica, all stale reads go to the same member.
   dataCentres: AUTHORITY.dataCentres.slice(0, 2),
   databaseCount: 1,
   vmCount: 1,
   connectionLimit: 100,
-  // More slots than callers, so that the member does not hide the path's cost.
+  // More slots than callers, so that waiting for a slot at the member does not
+  // hide the cost of the path.
   slots: 64,
   workspaces: AUTHORITY.workspaces.slice(0, 1).map(item => ({
     ...item,
@@ -62,17 +63,17 @@
   },
 ];
 
-/** One statement kind through a VM and directly to the same member. */
+/** The cost of a kind of statement through a VM and directly at the member. */
 export interface PathCost {
   readonly kind: StatementKind;
   readonly concurrency: number;
   readonly direct: LoopResult;
   readonly proxied: LoopResult;
-  /** CPU time of the VM for each statement, over all proxied rounds. */
+  /** CPU time of the VM for each statement, averaged over all proxied rounds. */
   readonly vmCpuUs: number;
 }
 
-/** Measures what the path through one VM adds to a direct connection. */
+/** Measures the overhead of a path through one VM over a direct connection. */
 export async function measurePath(
   buildFolder: string,
   vmNodeOptions: readonly string[],
@@ -90,7 +91,8 @@
     for (const concurrency of CONCURRENCY) {
       costs.push(...(await measureAt(fleet, concurrency)));
     }
-    // A profile of the VM is written when its process ends by itself.
+    // Node.js writes the CPU profile only when the process exits by itself, not
+    // when it is killed.
     await Promise.all(fleet.vms.map(vm => vm.child.stop()));
     return costs;
   } finally {
@@ -121,19 +123,19 @@
     let cpuSeconds = 0;
     let statements = 0;
     for (let round = 0; round < ROUNDS; round += 1) {
-      const alone = await loop(direct, sql, ROUND_MS);
+      const directRound = await loop(direct, sql, ROUND_MS);
       const before = await vmCpuSeconds(fleet);
-      const through = await loop(proxied, comment + sql, ROUND_MS);
+      const proxiedRound = await loop(proxied, comment + sql, ROUND_MS);
       cpuSeconds += (await vmCpuSeconds(fleet)) - before;
-      statements += through.statements;
-      rounds.push({direct: alone, proxied: through});
+      statements += proxiedRound.statements;
+      rounds.push({direct: directRound, proxied: proxiedRound});
     }
     for (const connection of [...direct, ...proxied]) connection.destroy();
     costs.push({
       kind,
       concurrency,
-      direct: median(rounds.map(round => round.direct)),
-      proxied: median(rounds.map(round => round.proxied)),
+      direct: medianRound(rounds.map(round => round.direct)),
+      proxied: medianRound(rounds.map(round => round.proxied)),
       vmCpuUs: Math.round((cpuSeconds * 1e6) / statements),
     });
   }
@@ -150,8 +152,8 @@
   return Number(match?.[1]);
 }
 
-/** The round in the middle by throughput. */
-function median(results: readonly LoopResult[]): LoopResult {
+/** Returns the round with the median throughput. */
+function medianRound(results: readonly LoopResult[]): LoopResult {
   const sorted = [...results].sort(
     (a, b) => a.statementsPerSecond - b.statementsPerSecond,
   );
--- a/packages/experiment/src/history/__tests__/check_history.test.ts
+++ b/packages/experiment/src/history/__tests__/check_history.test.ts
@@ -48,7 +48,7 @@
   readonly [string, readonly HistoryEvent[], Record<string, number>]
 > = [
   [
-    'a sound history has no violation',
+    'a correct history has no violation',
     [write('w1', 'acknowledged'), read({found: 1}), transaction({})],
     {w1: 1, t1: 1, t2: 1},
   ],
@@ -110,7 +110,8 @@
   ],
 ];
 
-// Guards against a checker that passes a broken history or fails a sound one.
+// Guards against a checker that accepts an incorrect history or rejects a
+// correct one.
 describe('checkHistory', () => {
   it.each(CASES)('%s', (unusedName, history, contents) => {
     const result = checkHistory(history, new Map(Object.entries(contents)));
--- a/packages/experiment/src/history/check_history.ts
+++ b/packages/experiment/src/history/check_history.ts
@@ -19,19 +19,20 @@
   'torn',
 ];
 
-/** What is known about one write over all its attempts. */
+/** The combined outcome of all attempts at a write. */
 interface WriteRecord {
   readonly session: string;
   readonly outcome: WriteOutcome;
-  /** When its first acknowledgement arrived. */
+  /** When the first acknowledgement arrived; infinite without one. */
   readonly acknowledgedAt: number;
 }
 
 type WriteRecords = ReadonlyMap<string, WriteRecord>;
 
 /**
- * Compares what the callers were told with what the databases hold at the end.
- * A write with an unknown outcome may be present or not, but at most once.
+ * Compares the responses that callers received with the contents of the
+ * databases at the end. A write with an unknown outcome may be present or not,
+ * but at most once.
  */
 export function checkHistory(
   history: readonly HistoryEvent[],
@@ -53,15 +54,15 @@
     acknowledged: outcomes.filter(item => item === 'acknowledged').length,
     unknown: outcomes.filter(item => item === 'unknown').length,
     counts: Object.fromEntries(
-      KINDS.map(kind => [kind, ofKind(violations, kind).length]),
+      KINDS.map(kind => [kind, violationsOfKind(violations, kind).length]),
     ) as Record<ViolationKind, number>,
     examples: KINDS.flatMap(kind =>
-      ofKind(violations, kind).slice(0, MAX_EXAMPLES),
+      violationsOfKind(violations, kind).slice(0, MAX_EXAMPLES),
     ),
   };
 }
 
-/** The number of violations of all kinds. */
+/** Returns the number of violations of all kinds. */
 export function violationCount(result: CheckResult): number {
   return Object.values(result.counts).reduce((sum, count) => sum + count, 0);
 }
@@ -77,7 +78,7 @@
         event.outcome === 'acknowledged' ? event.endedAt : Infinity;
       records.set(name, {
         session: event.session,
-        outcome: strongest(before?.outcome, event.outcome),
+        outcome: combinedOutcome(before?.outcome, event.outcome),
         acknowledgedAt: Math.min(
           before?.acknowledgedAt ?? Infinity,
           acknowledgedAt,
@@ -88,8 +89,11 @@
   return records;
 }
 
-/** An acknowledgement outweighs an unknown outcome, which outweighs the rest. */
-function strongest(
+/**
+ * Combines the outcomes of two attempts: `acknowledged` takes precedence over
+ * `unknown`, which takes precedence over the others.
+ */
+function combinedOutcome(
   before: WriteOutcome | undefined,
   now: WriteOutcome,
 ): WriteOutcome {
@@ -127,12 +131,14 @@
   }
   const target = writes.get(read.target);
   if (!target || read.found > 0) return [];
-  const own = target.session === read.session;
-  const mustShowUntil = read.startedAt - (own ? 0 : read.maxAgeMs);
-  if (target.acknowledgedAt > mustShowUntil) return [];
+  const isOwn = target.session === read.session;
+  const mustReturnUntil = read.startedAt - (isOwn ? 0 : read.maxAgeMs);
+  if (target.acknowledgedAt > mustReturnUntil) return [];
   const ageMs = Math.round(read.startedAt - target.acknowledgedAt);
-  const whose = own ? 'of its own session' : `with age ${read.maxAgeMs} ms`;
-  const detail = `read ${read.value} missed ${read.target} ${whose} after ${ageMs} ms`;
+  const requirement = isOwn
+    ? 'of its own session'
+    : `with age ${read.maxAgeMs} ms`;
+  const detail = `read ${read.value} missed ${read.target} ${requirement} after ${ageMs} ms`;
   return [{kind: 'stale', detail}];
 }
 
@@ -157,7 +163,7 @@
   return found;
 }
 
-function ofKind(
+function violationsOfKind(
   violations: readonly Violation[],
   kind: ViolationKind,
 ): Violation[] {
--- a/packages/experiment/src/load/__tests__/plan_arrivals.test.ts
+++ b/packages/experiment/src/load/__tests__/plan_arrivals.test.ts
@@ -26,7 +26,8 @@
   });
 }
 
-// Guards against a load that misses its stated rate or differs between runs.
+// Guards against a load that differs from its stated rate or between runs with
+// the same seed.
 describe('planArrivals', () => {
   it.each([
     ['half of the rate', new Map<string, number>(), 1],
--- a/packages/experiment/src/load/acknowledged_writes.ts
+++ b/packages/experiment/src/load/acknowledged_writes.ts
@@ -3,15 +3,16 @@
   readonly at: number;
 }
 
-/** The writes of one workspace that later reads look for. */
+/** The acknowledged writes of one workspace, for which later reads search. */
 export class AcknowledgedWrites {
   private readonly writes: AcknowledgedWrite[] = [];
 
+  /** Adds a write that was acknowledged at `at`; times must not decrease. */
   add(write: string, at: number): void {
     this.writes.push({write, at});
   }
 
-  /** The newest write that was acknowledged at or before `at`. */
+  /** Returns the latest write that was acknowledged at or before `at`. */
   newestAt(at: number): string | undefined {
     return this.writes.findLast(item => item.at <= at)?.write;
   }
--- a/packages/experiment/src/load/client_connection.ts
+++ b/packages/experiment/src/load/client_connection.ts
@@ -2,21 +2,27 @@
 import type {Connection} from 'mysql2/promise';
 
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Longer than the deadline of every route, so the VM answers first. */
+/** Longer than the deadline of every route, so that the VM responds first. */
 const ANSWER_TIMEOUT_MS = 6_000;
 
+/** Whether a request that ended with an error was executed. */
 export type ErrorOutcome = 'not-run' | 'unknown' | 'failed';
 
+/** The response to a request, or the error that takes its place. */
 export type Answer =
   | {readonly kind: 'done'}
   | {readonly kind: 'rows'; readonly rows: readonly unknown[][]}
   | {
       readonly kind: 'error';
       readonly outcome: ErrorOutcome;
-      /** The kind of the refusal, or `connection`. */
+      /**
+       * The kind of refusal or error that the VM reported, or `connection` for
+       * an error that the VM did not report.
+       */
       readonly reason: string;
     };
 
+/** The port and credentials of a connection. */
 export interface Login {
   readonly port: number;
   readonly user: string;
@@ -24,24 +30,24 @@
   readonly database: string;
 }
 
-/** A MySQL connection to one VM that turns errors into stated outcomes. */
+/** A MySQL connection to one VM, which converts errors into outcomes. */
 export class ClientConnection {
-  /** What closed the connection while no request was under way. */
-  private closedBy: Answer | undefined;
+  /** The result for requests after the connection was closed. */
+  private closedAnswer: Answer | undefined;
 
   private constructor(
     readonly vm: string,
     private readonly connection: Connection,
   ) {
     connection.on('error', err => {
-      this.closedBy ??= notSent(toErrorAnswer(err as Error).reason);
+      this.closedAnswer ??= notSent(toErrorAnswer(err as Error).reason);
     });
     connection.on('end', () => {
-      this.closedBy ??= notSent('closed');
+      this.closedAnswer ??= notSent('closed');
     });
   }
 
-  /** Opens a connection; returns undefined if the VM does not take it. */
+  /** Opens a connection; returns undefined if the VM does not accept it. */
   static async open(
     vm: string,
     login: Login,
@@ -58,9 +64,10 @@
     }
   }
 
+  /** Sends a statement; never rejects. */
   async send(sql: string): Promise<Answer> {
-    // Nothing is sent on a connection that the VM has closed before.
-    if (this.closedBy) return this.closedBy;
+    // On a closed connection the statement is not sent, so it did not run.
+    if (this.closedAnswer) return this.closedAnswer;
     try {
       const [result] = await this.connection.query({
         sql,
@@ -84,7 +91,7 @@
   return {kind: 'error', outcome: 'not-run', reason};
 }
 
-/** Reads the outcome that starts each error text of a VM. */
+/** Parses the outcome with which each error message of a VM starts. */
 export function toErrorAnswer(err: {
   readonly message?: string;
 }): Extract<Answer, {kind: 'error'}> {
--- a/packages/experiment/src/load/load_generator.ts
+++ b/packages/experiment/src/load/load_generator.ts
@@ -10,10 +10,10 @@
 import type {ArrivalPlan, PlannedRequest} from './plan_arrivals.js';
 import type {RequestRecord} from './request_record.js';
 
-/** Requests of one workspace that wait for an answer at a time. */
+/** The maximum number of concurrent requests of one workspace. */
 const SESSIONS_PER_WORKSPACE = 32;
 
-/** What one run of the load recorded. */
+/** The records of one run of the load. */
 export interface LoadResult {
   readonly requests: readonly RequestRecord[];
   readonly history: readonly HistoryEvent[];
@@ -26,10 +26,13 @@
   readonly waiting: PlannedRequest[];
 }
 
-/** Sends planned requests at their times, whatever the answers do. */
+/**
+ * Sends each request at its planned time, whether earlier ones have ended or
+ * not (open loop). Requests without a free session wait in a queue.
+ */
 export class LoadGenerator {
   private readonly plan: readonly PlannedRequest[];
-  private readonly loads: ReadonlyMap<string, WorkspaceLoad>;
+  private readonly workspaceLoads: ReadonlyMap<string, WorkspaceLoad>;
   private readonly sessions: LoadSession[];
   private readonly requests: RequestRecord[] = [];
   private readonly history: HistoryEvent[] = [];
@@ -47,14 +50,14 @@
     const random = new Random(seed);
     this.plan = planArrivals(profile.workspaces, plan, random);
     const names = databaseNames(profile);
-    const homes = new Map(
+    const databaseByWorkspace = new Map(
       profile.workspaces.map(({name}) => [
         name,
         rendezvousOrder(name, names)[0] ?? '',
       ]),
     );
-    this.databaseOf = workspace => homes.get(workspace) ?? '';
-    const tools: SessionTools = {
+    this.databaseOf = workspace => databaseByWorkspace.get(workspace) ?? '';
+    const deps: SessionTools = {
       service: profile.service,
       targets,
       random,
@@ -68,12 +71,12 @@
         const acknowledged = new AcknowledgedWrites();
         const free = Array.from(
           {length: SESSIONS_PER_WORKSPACE},
-          () => new LoadSession(workspace, acknowledged, tools),
+          () => new LoadSession(workspace, acknowledged, deps),
         );
         return [workspace.name, {free, waiting: []}];
       },
     );
-    this.loads = new Map(loads);
+    this.workspaceLoads = new Map(loads);
     this.sessions = loads.flatMap(([, load]) => [...load.free]);
   }
 
@@ -82,6 +85,7 @@
     return performance.now() - this.startedAt;
   }
 
+  /** Sends all planned requests and waits until they have ended. */
   async run(): Promise<LoadResult> {
     const delay = monitorEventLoopDelay({resolution: 5});
     delay.enable();
@@ -102,7 +106,7 @@
   }
 
   private dispatch(request: PlannedRequest): void {
-    const load = this.loads.get(request.workspace);
+    const load = this.workspaceLoads.get(request.workspace);
     if (!load) return;
     const session = load.free.pop();
     if (!session) {
@@ -125,7 +129,7 @@
       const lateMs = this.clock() - request.plannedAt;
       this.requests.push(
         lateMs > PATIENCE_MS
-          ? this.abandoned(request)
+          ? this.abandonedRecord(request)
           : await session.perform(request),
       );
       request = load.waiting.shift();
@@ -133,7 +137,7 @@
     load.free.unshift(session);
   }
 
-  private abandoned(request: PlannedRequest): RequestRecord {
+  private abandonedRecord(request: PlannedRequest): RequestRecord {
     return {
       ...request,
       database: this.databaseOf(request.workspace),
--- a/packages/experiment/src/load/load_session.ts
+++ b/packages/experiment/src/load/load_session.ts
@@ -7,16 +7,16 @@
 import type {PlannedRequest} from './plan_arrivals.js';
 import type {RequestRecord, RequestResult} from './request_record.js';
 
-/** Share of the requests before which a session moves to another VM. */
-const ROAM_SHARE = 0.1;
+/** Share of the requests before which a session switches to another VM. */
+const VM_SWITCH_SHARE = 0.1;
 const MAX_ATTEMPTS = 4;
-/** After this time a client gives up. */
+/** A client gives up this long after the planned time of a request. */
 export const PATIENCE_MS = 5_000;
 const STALE_AGE_MS = 1_000;
 const LOOKUP_AGE_MS = 2_000;
 
-/** Refusals after which a client tries another VM at once. */
-const MOVE_REASONS: ReadonlySet<string> = new Set([
+/** Refusals after which a client immediately retries through another VM. */
+const RETRY_REASONS: ReadonlySet<string> = new Set([
   'closed',
   'connect',
   'draining',
@@ -28,13 +28,13 @@
   reason: 'connect',
 };
 
-/** A VM that clients may connect to. */
+/** A VM to which clients can connect. */
 export interface ClientTarget {
   readonly name: string;
   readonly clientPort: number;
 }
 
-/** What all sessions of one run share. */
+/** The collaborators that all sessions of a run share. */
 export interface SessionTools {
   readonly service: string;
   readonly targets: () => readonly ClientTarget[];
@@ -46,7 +46,7 @@
   readonly databaseOf: (workspace: string) => string;
 }
 
-/** One client session, which keeps its token while it moves between VMs. */
+/** One client session, which keeps its session token when it changes VMs. */
 export class LoadSession {
   private connection: ClientConnection | undefined;
   private previousVm = '';
@@ -57,34 +57,34 @@
   constructor(
     private readonly workspace: WorkspaceProfile,
     private readonly acknowledged: AcknowledgedWrites,
-    private readonly tools: SessionTools,
+    private readonly deps: SessionTools,
   ) {
-    this.id = tools.nextId();
+    this.id = deps.nextId();
   }
 
-  /** Sends one request, on other VMs again where that is safe. */
+  /** Sends a request, and resends it through other VMs where that is safe. */
   async perform(request: PlannedRequest): Promise<RequestRecord> {
-    const {random, clock} = this.tools;
-    if (random.fraction() < ROAM_SHARE) this.leave();
+    const {random, clock} = this.deps;
+    if (random.fraction() < VM_SWITCH_SHARE) this.disconnect();
     const attempt = this.prepare(request);
     let answer = NOT_CONNECTED;
-    let resends = 1;
+    let remainingResends = 1;
     let interruptions = 0;
     for (let count = 0; count < MAX_ATTEMPTS; count += 1) {
       answer = (await this.connect()) ? await attempt() : NOT_CONNECTED;
       if (answer.kind !== 'error') break;
       if (answer.reason === 'connection') {
         interruptions += 1;
-        this.leave();
+        this.disconnect();
       }
       if (clock() > request.plannedAt + PATIENCE_MS) break;
       if (answer.outcome === 'unknown') {
-        if (request.kind === 'transaction' || resends === 0) break;
-        resends -= 1;
-      } else if (!MOVE_REASONS.has(answer.reason)) {
+        if (request.kind === 'transaction' || remainingResends === 0) break;
+        remainingResends -= 1;
+      } else if (!RETRY_REASONS.has(answer.reason)) {
         break;
       }
-      this.leave();
+      this.disconnect();
     }
     return this.recordOf(request, answer, interruptions);
   }
@@ -93,9 +93,9 @@
     this.connection?.close();
   }
 
-  /** Returns a function that sends the same request each time. */
+  /** Returns a function that sends the same request on each call. */
   private prepare(request: PlannedRequest): () => Promise<Answer> {
-    const {nextId, clock} = this.tools;
+    const {nextId, clock} = this.deps;
     switch (request.kind) {
       case 'write': {
         const write = nextId();
@@ -130,12 +130,12 @@
     sql: string,
     options: string,
   ): Promise<Answer> {
-    const startedAt = this.tools.clock();
+    const startedAt = this.deps.clock();
     const answer = await this.send(sql, options);
-    const endedAt = this.tools.clock();
+    const endedAt = this.deps.clock();
     const outcome = answer.kind === 'error' ? answer.outcome : 'acknowledged';
     const session = this.id;
-    this.tools.record({
+    this.deps.record({
       kind: 'write',
       write,
       session,
@@ -155,10 +155,10 @@
     options: string,
     maxAgeMs: number,
   ): Promise<Answer> {
-    const value = this.tools.nextId();
+    const value = this.deps.nextId();
     const wanted = target ?? 'none';
     const session = this.id;
-    const startedAt = this.tools.clock();
+    const startedAt = this.deps.clock();
     const answer = await this.send(
       `SELECT '${value}' AS value, (SELECT COUNT(*) FROM load_write ` +
         `WHERE write_id = '${wanted}') AS copies`,
@@ -166,7 +166,7 @@
     );
     if (answer.kind === 'error') return answer;
     const [row] = answer.kind === 'rows' ? answer.rows : [];
-    this.tools.record({
+    this.deps.record({
       kind: 'read',
       session,
       value,
@@ -175,13 +175,13 @@
       found: Number(row?.[1] ?? 0),
       maxAgeMs,
       startedAt,
-      endedAt: this.tools.clock(),
+      endedAt: this.deps.clock(),
     });
     return answer;
   }
 
   private async transaction(writes: readonly string[]): Promise<Answer> {
-    const startedAt = this.tools.clock();
+    const startedAt = this.deps.clock();
     const session = this.id;
     let beforeCommit: 'running' | 'lost' = 'running';
     let answer = await this.send('BEGIN', '');
@@ -194,16 +194,16 @@
     }
     const failed = answer.kind === 'error' ? answer : undefined;
     if (failed?.reason === 'transaction-lost') beforeCommit = 'lost';
-    // COMMIT of a lost transaction is sent too, as it must be refused.
-    const commits = !failed || beforeCommit === 'lost';
-    const last = await this.send(commits ? 'COMMIT' : 'ROLLBACK', '');
-    const endedAt = this.tools.clock();
-    const outcome = !commits
+    // COMMIT is also sent for a lost transaction, to check that it is refused.
+    const sendsCommit = !failed || beforeCommit === 'lost';
+    const last = await this.send(sendsCommit ? 'COMMIT' : 'ROLLBACK', '');
+    const endedAt = this.deps.clock();
+    const outcome = !sendsCommit
       ? 'not-run'
       : last.kind === 'error'
         ? last.outcome
         : 'acknowledged';
-    this.tools.record({
+    this.deps.record({
       kind: 'transaction',
       session,
       writes,
@@ -217,11 +217,12 @@
       await this.readToken(writes[0]);
     }
     if (!failed) return last;
-    // Without a COMMIT the transaction did not run, whatever broke it.
+    // A statement before COMMIT failed, so the transaction did not run, whatever
+    // the outcome of that statement.
     return {...failed, outcome: 'not-run'};
   }
 
-  /** Takes the token that covers a write, or starts a new session. */
+  /** Reads the token that covers a write; if that fails, starts a new session. */
   private async readToken(write: string | undefined): Promise<void> {
     const answer = await this.send('SELECT @@pistachiorill_session', '');
     const token = answer.kind === 'rows' ? answer.rows[0]?.[0] : undefined;
@@ -230,10 +231,10 @@
       this.lastWrite = write;
       return;
     }
-    this.leave();
+    this.disconnect();
     this.token = '';
     this.lastWrite = undefined;
-    this.id = this.tools.nextId();
+    this.id = this.deps.nextId();
   }
 
   private async send(sql: string, options: string): Promise<Answer> {
@@ -246,7 +247,7 @@
 
   private async connect(): Promise<boolean> {
     if (this.connection) return true;
-    const {random, targets, service} = this.tools;
+    const {random, targets, service} = this.deps;
     const others = targets().filter(vm => vm.name !== this.previousVm);
     const vm = random.pick(others.length > 0 ? others : targets());
     if (!vm) return false;
@@ -260,7 +261,7 @@
     return this.connection !== undefined;
   }
 
-  private leave(): void {
+  private disconnect(): void {
     this.connection?.close();
     this.connection = undefined;
   }
@@ -272,12 +273,12 @@
   ): RequestRecord {
     return {
       workspace: request.workspace,
-      database: this.tools.databaseOf(request.workspace),
+      database: this.deps.databaseOf(request.workspace),
       vm: this.previousVm,
       kind: request.kind,
       rate: request.rate,
       plannedAt: request.plannedAt,
-      endedAt: this.tools.clock(),
+      endedAt: this.deps.clock(),
       result: resultOf(answer),
       reason: answer.kind === 'error' ? answer.reason : '',
       interruptions,
--- a/packages/experiment/src/load/plan_arrivals.ts
+++ b/packages/experiment/src/load/plan_arrivals.ts
@@ -3,7 +3,7 @@
 import {REQUEST_MIX} from './request_kind.js';
 import type {RequestKind} from './request_kind.js';
 
-/** One request that a client is to send at a given time. */
+/** A request that a client sends at a planned time. */
 export interface PlannedRequest {
   readonly workspace: string;
   readonly kind: RequestKind;
@@ -13,11 +13,12 @@
   readonly rate: 'within' | 'beyond';
 }
 
+/** The duration and intensity of the load. */
 export interface ArrivalPlan {
   readonly durationMs: number;
   /** Offered statements as a share of each workspace's rate. */
   readonly load: number;
-  /** Workspaces that offer a multiple of `load`. */
+  /** Multiples of `load`, by workspace; the others have the factor 1. */
   readonly factors: ReadonlyMap<string, number>;
 }
 
@@ -31,7 +32,7 @@
 
 /**
  * Plans Poisson arrivals for each workspace. The times do not depend on the
- * answers, so a slow answer delays no later request (open loop).
+ * responses, so a slow response delays no later request (open loop).
  */
 export function planArrivals(
   workspaces: readonly WorkspaceProfile[],
--- a/packages/experiment/src/load/request_kind.ts
+++ b/packages/experiment/src/load/request_kind.ts
@@ -1,15 +1,16 @@
-/** What a client does in one request. */
+/** The kinds of requests that clients send. */
 export type RequestKind =
   'write' | 'note' | 'strict-read' | 'stale-read' | 'own-read' | 'transaction';
 
+/** The frequency and the cost of a kind of request. */
 export interface KindShape {
   /** Share of the requests, in percent. */
   readonly weight: number;
-  /** Statements that the request sends, the reading of the token included. */
+  /** Statements per request, including the one that reads the token. */
   readonly statements: number;
 }
 
-/** The mix of each workspace. */
+/** The mix of requests of each workspace; the weights add up to 100. */
 export const REQUEST_MIX: Readonly<Record<RequestKind, KindShape>> = {
   write: {weight: 25, statements: 2},
   note: {weight: 10, statements: 2},
@@ -19,7 +20,7 @@
   transaction: {weight: 5, statements: 5},
 };
 
-/** Kinds whose acknowledgement ends a gap in the service of writes. */
+/** Kinds that write; an acknowledgement of one ends a write gap. */
 export const WRITE_KINDS: ReadonlySet<RequestKind> = new Set<RequestKind>([
   'write',
   'note',
--- a/packages/experiment/src/load/request_record.ts
+++ b/packages/experiment/src/load/request_record.ts
@@ -1,5 +1,6 @@
 import type {RequestKind} from './request_kind.js';
 
+/** How a request ended. */
 export type RequestResult =
   | 'answered'
   | 'refused'
@@ -8,7 +9,7 @@
   /** The client gave up before it could send the request. */
   | 'abandoned';
 
-/** How one request ended, for the measures. */
+/** A request with its result, from which the measures are computed. */
 export interface RequestRecord {
   readonly workspace: string;
   readonly database: string;
@@ -19,8 +20,8 @@
   readonly plannedAt: number;
   readonly endedAt: number;
   readonly result: RequestResult;
-  /** The kind of refusal or error; empty for an answer. */
+  /** The kind of refusal or error; empty for an answered request. */
   readonly reason: string;
-  /** Attempts that ended with a lost connection and no stated outcome. */
+  /** Attempts that lost the connection before the VM reported an outcome. */
   readonly interruptions: number;
 }
--- a/packages/experiment/src/main.ts
+++ b/packages/experiment/src/main.ts
@@ -11,12 +11,12 @@
     --profile      authority or leafmark (authority)
     --scenario     name of a scenario, or all (steady)
     --seed         seed of the arrivals and the clients (1)
-    --duration-ms  length of the load (20000)
+    --duration-ms  duration of the load (20000)
     --out          folder for report.json and report.html
     --baseline     report.json of an earlier run; prints ratios
-    --compare      runs the baseline policies too and prints ratios
-    --quick        all scenarios briefly; the figures are rough
-    --cost         measures the path through one VM and the decisions
+    --compare      also runs the baseline policies and prints ratios
+    --quick        runs all scenarios briefly; the figures are imprecise
+    --cost         measures the cost of the path through one VM and of decisions
     --cpu-prof     folder for CPU profiles of the VM; with --cost
 `;
 
--- a/packages/experiment/src/measure/document_slope.ts
+++ b/packages/experiment/src/measure/document_slope.ts
@@ -1,4 +1,4 @@
-/** Measures how the size and the reading time of a document grow. */
+/** Measures how a document's size and parsing time grow with its databases. */
 import {performance} from 'node:perf_hooks';
 import {parseDocument} from '@pistachiorill/document';
 import {
@@ -22,7 +22,7 @@
     servers.map((name, index) => [name, `10.0.0.1:${FIRST_PORT + index}`]),
   );
   const body = writeDocument(profile, addresses);
-  const times = Array.from({length: ROUNDS}, () => timeOf(body)).sort(
+  const times = Array.from({length: ROUNDS}, () => parsingTimeMs(body)).sort(
     (a, b) => a - b,
   );
   return [
@@ -33,7 +33,7 @@
 });
 console.log(textTable([['databases', 'KB', 'ms to read'], ...rows]));
 
-function timeOf(body: string): number {
+function parsingTimeMs(body: string): number {
   const start = performance.now();
   const parsed = parseDocument(body, 'production');
   if (!parsed.ok) throw new Error('the document is not valid');
--- a/packages/experiment/src/measure/rate_refusals.ts
+++ b/packages/experiment/src/measure/rate_refusals.ts
@@ -1,4 +1,4 @@
-/** Prints how many statements within the rate are refused, by fleet size. */
+/** Simulates how many statements within the rate are refused, by fleet size. */
 import {simulateQuota} from '../quota/quota_simulation.js';
 import {rateScenarios} from '../quota/rate_scenarios.js';
 
--- a/packages/experiment/src/measure/slopes.ts
+++ b/packages/experiment/src/measure/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how the idle cost of a VM grows with client connections, groups and
- * VMs. The capacity page takes its slopes from this program.
+ * Measures how the CPU time and memory of an idle VM grow with the numbers of
+ * client connections, groups and VMs. The capacity page uses these slopes.
  */
 import {createConnection} from 'mysql2/promise';
 import type {Connection} from 'mysql2/promise';
@@ -16,12 +16,12 @@
 const CONNECTION_COUNTS = [0, 500, 1_000, 2_000];
 const GROUP_COUNTS = [1, 4, 8];
 const VM_COUNTS = [3, 6, 12];
-const OPENED_AT_A_TIME = 50;
+const CONNECT_BATCH_SIZE = 50;
 const MEGABYTE = 1_048_576;
 
-const SMALL: Profile = {...AUTHORITY, databaseCount: 1, vmCount: 3};
+const SMALL_PROFILE: Profile = {...AUTHORITY, databaseCount: 1, vmCount: 3};
 
-/** The mean idle cost of the VMs of a fleet. */
+/** The mean CPU share and memory of a fleet's VMs without statements. */
 interface IdleCost {
   readonly cpuPercent: number;
   readonly residentMegabytes: number;
@@ -30,20 +30,20 @@
 console.log('idle client connections on one VM');
 console.log(textTable(await measureConnections()));
 console.log('\ngroups, 3 VMs, each owner of all');
-console.log(textTable(await measureProfiles(GROUP_COUNTS, groups)));
+console.log(textTable(await measureProfiles(GROUP_COUNTS, profileWithGroups)));
 console.log('\nVMs, 1 group');
-console.log(textTable(await measureProfiles(VM_COUNTS, vms)));
+console.log(textTable(await measureProfiles(VM_COUNTS, profileWithVms)));
 
-function groups(databaseCount: number): Profile {
-  return {...SMALL, databaseCount};
+function profileWithGroups(databaseCount: number): Profile {
+  return {...SMALL_PROFILE, databaseCount};
 }
 
-function vms(vmCount: number): Profile {
-  return {...SMALL, vmCount};
+function profileWithVms(vmCount: number): Profile {
+  return {...SMALL_PROFILE, vmCount};
 }
 
 async function measureConnections(): Promise<string[][]> {
-  const fleet = new Fleet(SMALL, BUILD_FOLDER);
+  const fleet = new Fleet(SMALL_PROFILE, BUILD_FOLDER);
   const open: Connection[] = [];
   const rows = [['connections', 'CPU % of a core', 'resident MB']];
   try {
@@ -78,7 +78,7 @@
   return rows;
 }
 
-/** Measures the first VMs of a fleet over a window without statements. */
+/** Measures the first `vmCount` VMs of a fleet without statements. */
 async function idleCost(fleet: Fleet, vmCount: number): Promise<IdleCost> {
   await sleep(SETTLE_MS);
   const ports = fleet.vms.slice(0, vmCount).map(vm => vm.httpPort);
@@ -97,7 +97,7 @@
 
 async function connectSome(fleet: Fleet, wanted: number) {
   const [workspace] = fleet.profile.workspaces;
-  const count = Math.min(wanted, OPENED_AT_A_TIME);
+  const count = Math.min(wanted, CONNECT_BATCH_SIZE);
   return Promise.all(
     Array.from({length: count}, () =>
       createConnection({
--- a/packages/experiment/src/measure/vm_resources.ts
+++ b/packages/experiment/src/measure/vm_resources.ts
@@ -1,10 +1,10 @@
-/** Processor time and memory that a VM reports in its metrics. */
+/** CPU time and resident memory that a VM reports in its metrics. */
 export interface VmResources {
   readonly cpuSeconds: number;
   readonly residentBytes: number;
 }
 
-/** Reads the resources of a VM from its status port. */
+/** Reads the resources of a VM from `/metrics` on its HTTP port. */
 export async function readVmResources(httpPort: number): Promise<VmResources> {
   const res = await fetch(`http://127.0.0.1:${httpPort}/metrics`);
   const text = await res.text();
--- a/packages/experiment/src/measures/__tests__/compute_measures.test.ts
+++ b/packages/experiment/src/measures/__tests__/compute_measures.test.ts
@@ -33,7 +33,7 @@
     ),
   ],
   [
-    'a workspace over its rate gets what fits into it',
+    'a workspace over its rate is compared with its rate only',
     records(20, index => (index % 2 === 0 ? {} : {...REFUSED, rate: 'beyond'})),
   ],
   [
@@ -49,7 +49,7 @@
   ],
 ];
 
-// Guards against a measure that hides refused, late or missing answers.
+// Guards against a measure that hides refused, late or missing responses.
 describe('computeMeasures', () => {
   it.each(CASES)('%s', (unusedName, requests) => {
     const samples = [{at: 500, replica: 30, primary: 10}];
@@ -58,9 +58,10 @@
   });
 });
 
-// Guards against a restarted VM whose counters start at zero again.
+// Guards against a negative increase after a VM restart, when the counters
+// start at zero again.
 describe('read counters', () => {
-  it('parses the metrics and finds increases', () => {
+  it('parses the metrics and computes increases', () => {
     const text =
       '# TYPE pistachiorill_reads_total counter\n' +
       'pistachiorill_reads_total{served_by="replica"} 7\n' +
--- a/packages/experiment/src/measures/compute_measures.ts
+++ b/packages/experiment/src/measures/compute_measures.ts
@@ -9,18 +9,18 @@
 } from './measures.js';
 import type {ReadSample} from './read_sampler.js';
 
-/** A request answered later than this counts as not answered in time. */
+/** The latency up to which a request counts as answered in time. */
 export const IN_TIME_MS = 500;
 
 const HIGHEST_LATENCY_US = 60_000_000;
 
-/** The part of a run that counts, in milliseconds after its start. */
+/** The measured part of a run, in milliseconds after its start. */
 export interface Window {
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-/** Computes the measures from what the clients and the VMs recorded. */
+/** Computes the measures from the records of the clients and of the VMs. */
 export function computeMeasures(
   records: readonly RequestRecord[],
   samples: readonly ReadSample[],
@@ -72,8 +72,9 @@
   records: readonly RequestRecord[],
 ): WorkspaceMeasure {
   const withinRate = records.filter(item => item.rate === 'within').length;
-  // A workspace over its rate may get any of its requests answered, so only
-  // the number that fits into its rate is compared.
+  // If a workspace exceeds its rate, any of its requests may be the ones that
+  // are answered. Therefore only the number of answers is compared with the
+  // number of requests within the rate.
   const answeredInTime = Math.min(
     withinRate,
     records.filter(
--- a/packages/experiment/src/measures/read_counts.ts
+++ b/packages/experiment/src/measures/read_counts.ts
@@ -1,4 +1,4 @@
-/** Reads since a VM process started, by the role of the member. */
+/** Reads by the role of the member that served them. */
 export interface ReadCounts {
   readonly replica: number;
   readonly primary: number;
@@ -6,7 +6,7 @@
 
 const LINE = /^pistachiorill_reads_total\{served_by="(\w+)"[^}]*\} (\S+)$/;
 
-/** Reads the counters from the text of a VM's `/metrics`. */
+/** Parses the read counters in the text of a VM's `/metrics`. */
 export function parseReadCounts(metrics: string): ReadCounts {
   const counts = {replica: 0, primary: 0};
   for (const line of metrics.split('\n')) {
@@ -16,7 +16,10 @@
   return counts;
 }
 
-/** The increase between two readings; a smaller value means a new process. */
+/**
+ * Returns the increase between two readings. A lower value than before means
+ * that the VM restarted and its counters started at zero.
+ */
 export function increaseOf(before: ReadCounts, now: ReadCounts): ReadCounts {
   const restarted =
     now.replica < before.replica || now.primary < before.primary;
--- a/packages/experiment/src/measures/read_sampler.ts
+++ b/packages/experiment/src/measures/read_sampler.ts
@@ -4,7 +4,7 @@
 const SAMPLE_INTERVAL_MS = 500;
 const SCRAPE_TIMEOUT_MS = 400;
 
-/** Reads that the VMs served in one interval. */
+/** The reads that all VMs served in one interval, which ended at `at`. */
 export interface ReadSample extends ReadCounts {
   readonly at: number;
 }
@@ -14,10 +14,10 @@
   readonly httpPort: number;
 }
 
-/** Samples the read counters of all VMs while a load runs. */
+/** Samples the read counters of all VMs at regular intervals during a load. */
 export class ReadSampler {
   readonly samples: ReadSample[] = [];
-  private readonly last = new Map<string, ReadCounts>();
+  private readonly lastCounts = new Map<string, ReadCounts>();
   private timer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -25,12 +25,14 @@
     private readonly clock: () => number,
   ) {}
 
+  /** Reads the initial counters and starts the timer. */
   async start(): Promise<void> {
     await this.sample();
     this.samples.length = 0;
     this.timer = setInterval(() => void this.sample(), SAMPLE_INTERVAL_MS);
   }
 
+  /** Stops the timer and takes a last sample. */
   async stop(): Promise<void> {
     clearInterval(this.timer);
     await this.sample();
@@ -41,8 +43,8 @@
       this.vms().map(async vm => {
         const now = await scrape(vm.httpPort);
         if (!now) return {replica: 0, primary: 0};
-        const before = this.last.get(vm.name) ?? {replica: 0, primary: 0};
-        this.last.set(vm.name, now);
+        const before = this.lastCounts.get(vm.name) ?? {replica: 0, primary: 0};
+        this.lastCounts.set(vm.name, now);
         return increaseOf(before, now);
       }),
     );
--- a/packages/experiment/src/quota/__tests__/rate_refusals.test.ts
+++ b/packages/experiment/src/quota/__tests__/rate_refusals.test.ts
@@ -3,43 +3,46 @@
 import type {Scenario} from '../quota_simulation.js';
 import {rateScenarios} from '../rate_scenarios.js';
 
-const TARGET = 0.001;
+const MAX_REFUSED_SHARE = 0.001;
 
-/** The larger fleets are measured for longer by the program. */
+/**
+ * Runs a scenario for a shorter time if its fleet is large. The program
+ * `measure_rates` runs all scenarios for the full time.
+ */
 function refusedShare(scenario: Scenario): number {
   const measuredMs = scenario.vms > 8 ? 20_000 : 60_000;
   const {offered, refused} = simulateQuota({...scenario, measuredMs});
   return refused / offered;
 }
 
-function isKnownRed({vms, spread, limits}: Scenario): boolean {
+function isKnownFailure({vms, spread, limits}: Scenario): boolean {
   return vms === 50 && spread === 'all-vms' && limits.rate === 50;
 }
 
 describe('refusals within the rate', () => {
-  // Guards against a policy that leaves tokens where no statement arrives.
+  // Guards against a policy that leaves tokens at VMs without statements.
   it.each(rateScenarios('regular', 7))(
     'regular: $limits.rate/s, $vms VMs, $spread',
     scenario => {
-      expect(refusedShare(scenario)).toBeLessThan(TARGET);
+      expect(refusedShare(scenario)).toBeLessThan(MAX_REFUSED_SHARE);
     },
   );
 
   const poisson = rateScenarios('poisson', 7);
 
-  // Guards against the same when statements arrive in random bursts.
-  it.each(poisson.filter(scenario => !isKnownRed(scenario)))(
+  // Guards against the same fault when statements arrive in random bursts.
+  it.each(poisson.filter(scenario => !isKnownFailure(scenario)))(
     'poisson: $limits.rate/s, $vms VMs, $spread',
     scenario => {
-      expect(refusedShare(scenario)).toBeLessThan(TARGET);
+      expect(refusedShare(scenario)).toBeLessThan(MAX_REFUSED_SHARE);
     },
   );
 
-  // In KNOWN-RED.txt; passes only while the check fails.
-  it.fails.each(poisson.filter(isKnownRed))(
+  // Listed in KNOWN-RED.txt. `it.fails` passes only while the check fails.
+  it.fails.each(poisson.filter(isKnownFailure))(
     'known red, poisson: $limits.rate/s, $vms VMs, $spread',
     scenario => {
-      expect(refusedShare(scenario)).toBeLessThan(TARGET);
+      expect(refusedShare(scenario)).toBeLessThan(MAX_REFUSED_SHARE);
     },
   );
 });
--- a/packages/experiment/src/quota/quota_simulation.ts
+++ b/packages/experiment/src/quota/quota_simulation.ts
@@ -15,28 +15,37 @@
 const WORKSPACE = 'w';
 const TICK_MS = 20;
 
+/** A fleet of VMs and the load of one workspace that it admits. */
 export interface Scenario {
   readonly vms: number;
+  /** The limits of the workspace. */
   readonly limits: QuotaLimits;
-  /** Statements a second of the whole fleet. */
+  /** Statements per second over the whole fleet. */
   readonly demand: number;
+  /** Whether one VM or a random one receives each statement. */
   readonly spread: 'one-vm' | 'all-vms';
+  /** Whether the gaps between statements are equal or exponential. */
   readonly arrivals: 'regular' | 'poisson';
+  /** Delay of each message between VMs. */
   readonly messageDelayMs: number;
+  /** Time before `measuredMs` in which statements are not counted. */
   readonly warmUpMs: number;
+  /** Time in which statements are counted. */
   readonly measuredMs: number;
   readonly seed: number;
 }
 
+/** The counts of the statements that arrived in the measured time. */
 export interface SimulationResult {
   readonly offered: number;
   readonly refused: number;
   /** Loan requests for each offered statement. */
   readonly requestsPerStatement: number;
+  /** Mean time from the arrival of a statement to its decision. */
   readonly waitedMsMean: number;
 }
 
-/** Runs the decisions of a fleet in simulated time, without faults. */
+/** Simulates the quota decisions of a fleet in virtual time, without faults. */
 export function simulateQuota(scenario: Scenario): SimulationResult {
   return new QuotaSimulation(scenario).run();
 }
@@ -47,7 +56,7 @@
   private readonly events = new Map<number, Array<() => void>>();
   private readonly arrivals = new Map<number, number>();
   private now = 0;
-  private ticket = 0;
+  private lastTicket = 0;
   private offered = 0;
   private refused = 0;
   private requests = 0;
@@ -104,7 +113,7 @@
       const {spread, vms} = this.scenario;
       const vm = spread === 'one-vm' ? 0 : this.random.integer(0, vms - 1);
       this.scheduleArrival(at);
-      const ticket = ++this.ticket;
+      const ticket = ++this.lastTicket;
       this.arrivals.set(ticket, this.now);
       if (this.isMeasured(this.now)) this.offered++;
       const until = this.now + ADMIT_WAIT_MS;
@@ -112,6 +121,7 @@
     });
   }
 
+  /** Runs the event at the given time, or now if that has passed. */
   private at(time: number, event: () => void): void {
     const due = Math.max(time, this.now);
     const events = this.events.get(due);
--- a/packages/experiment/src/quota/rate_scenarios.ts
+++ b/packages/experiment/src/quota/rate_scenarios.ts
@@ -1,9 +1,9 @@
 import type {Scenario} from './quota_simulation.js';
 
-/** The part of its rate that a workspace sends. */
-const DEMAND = 0.9;
+/** The load of a workspace as a share of its rate. */
+const DEMAND_SHARE = 0.9;
 
-/** The cases for which the design states a target. */
+/** Returns the scenarios for which the design states a target. */
 export function rateScenarios(
   arrivals: Scenario['arrivals'],
   seed: number,
@@ -13,7 +13,7 @@
       [1, 8, 50].map(vms => ({
         vms,
         limits: {rate, burst: rate},
-        demand: rate * DEMAND,
+        demand: rate * DEMAND_SHARE,
         spread,
         arrivals,
         messageDelayMs: 2,
--- a/packages/experiment/src/report/__tests__/tables.test.ts
+++ b/packages/experiment/src/report/__tests__/tables.test.ts
@@ -55,8 +55,8 @@
   },
 ];
 
-// Guards against a scenario without its fault that is shown as a result, and
-// against ratios of the wrong pair of runs.
+// Guards against a table that shows figures for a scenario without its fault,
+// and against ratios of the wrong pair of runs.
 describe('tables', () => {
   it('show measures, counts and ratios', () => {
     const tables = [
@@ -68,9 +68,10 @@
   });
 });
 
-// Guards against a report that needs the network or contains raw labels.
+// Guards against a report that loads resources over the network or contains
+// labels that are not escaped.
 describe('htmlReport', () => {
-  it('is one page without references', async () => {
+  it('is one page without external references', async () => {
     const html = await htmlReport(RUNS, 'title <1>');
     const references = html.match(/(?:src|href)="[^"#]+/g) ?? [];
     expect({
--- a/packages/experiment/src/report/chart_specs.ts
+++ b/packages/experiment/src/report/chart_specs.ts
@@ -5,7 +5,7 @@
 const WIDTH = 420;
 const HEIGHT = 110;
 
-/** The charts of a report; each states its unit on its axis. */
+/** Returns the charts of a report; the axis titles state the units. */
 export function chartSpecs(runs: readonly ScenarioRun[]): TopLevelSpec[] {
   return [
     answeredPerSecond(runs),
--- a/packages/experiment/src/report/check_table.ts
+++ b/packages/experiment/src/report/check_table.ts
@@ -2,7 +2,7 @@
 import type {ScenarioRun} from '../scenarios/scenario_run.js';
 import {titleOf} from './measures_table.js';
 
-/** The rows of the checker's counts, the heading first. */
+/** Returns the rows of a table with the checker's counts, the header first. */
 export function checkTable(runs: readonly ScenarioRun[]): string[][] {
   const checked = runs.flatMap(run =>
     run.check ? [{...run, check: run.check}] : [],
--- a/packages/experiment/src/report/headline_measures.ts
+++ b/packages/experiment/src/report/headline_measures.ts
@@ -1,16 +1,17 @@
 import {violationCount} from '../history/check_history.js';
 import type {ScenarioRun} from '../scenarios/scenario_run.js';
 
+/** How a table formats a measure. */
 export type Unit = 'percent' | 'ms' | 'count';
 
-/** One column of the tables. */
+/** A measure that is a column of the tables. */
 export interface HeadlineMeasure {
   readonly title: string;
   readonly unit: Unit;
   readonly value: (run: ScenarioRun) => number | undefined;
 }
 
-/** The five measures of the design and what explains them. */
+/** The five measures of the design, with others that help to explain them. */
 export const HEADLINE_MEASURES: readonly HeadlineMeasure[] = [
   {
     title: 'replica reads %',
--- a/packages/experiment/src/report/html_report.ts
+++ b/packages/experiment/src/report/html_report.ts
@@ -11,7 +11,7 @@
   td:first-child, th:first-child {text-align: left}
 `;
 
-/** Writes a report as one HTML page that loads nothing else. */
+/** Renders a report as one HTML page that loads no other resources. */
 export async function htmlReport(
   runs: readonly ScenarioRun[],
   title: string,
@@ -36,7 +36,7 @@
   ].join('\n');
 }
 
-/** What a reader of the tables has to know about a run. */
+/** Returns the notes, refusals and example violations of a run. */
 export function notesOf(run: ScenarioRun): string[] {
   return [
     ...run.notes,
--- a/packages/experiment/src/report/measures_table.ts
+++ b/packages/experiment/src/report/measures_table.ts
@@ -2,7 +2,7 @@
 import {HEADLINE_MEASURES} from './headline_measures.js';
 import type {Unit} from './headline_measures.js';
 
-/** The rows of the table of measures, the heading first. */
+/** Returns the rows of the table of measures, the header first. */
 export function measuresTable(runs: readonly ScenarioRun[]): string[][] {
   return [
     ['scenario', ...HEADLINE_MEASURES.map(measure => measure.title)],
@@ -15,7 +15,7 @@
   ];
 }
 
-/** The scenario's name, with the policy unless it is the default. */
+/** Returns the name of the scenario, with the policy if it is not the default. */
 export function titleOf(run: ScenarioRun): string {
   return run.policy === 'default'
     ? run.scenario
--- a/packages/experiment/src/report/ratio_table.ts
+++ b/packages/experiment/src/report/ratio_table.ts
@@ -2,13 +2,13 @@
 import {HEADLINE_MEASURES} from './headline_measures.js';
 import {titleOf} from './measures_table.js';
 
-/** A run and the earlier run or baseline that it is compared with. */
+/** A run and the reference run that it is compared with. */
 export interface ComparedRuns {
   readonly run: ScenarioRun;
   readonly reference: ScenarioRun;
 }
 
-/** Pairs each run with the run of the same scenario, policy and profile. */
+/** Pairs each run with an earlier one of the same scenario, policy and profile. */
 export function pairWithEarlier(
   runs: readonly ScenarioRun[],
   earlier: readonly ScenarioRun[],
@@ -24,7 +24,7 @@
   });
 }
 
-/** Pairs each baseline with the default policies in the same scenario. */
+/** Pairs each baseline run with the run of its scenario by default policies. */
 export function pairWithDefault(runs: readonly ScenarioRun[]): ComparedRuns[] {
   return runs
     .filter(run => run.policy !== 'default')
@@ -36,7 +36,7 @@
     });
 }
 
-/** The rows of a table of ratios, the heading first. */
+/** Returns the rows of a table of ratios, the header first. */
 export function ratioTable(pairs: readonly ComparedRuns[]): string[][] {
   return [
     ['ratio', ...HEADLINE_MEASURES.map(measure => measure.title)],
--- a/packages/experiment/src/report/text_table.ts
+++ b/packages/experiment/src/report/text_table.ts
@@ -1,4 +1,4 @@
-/** Lays out rows of cells in columns; the first column is left-aligned. */
+/** Formats rows as text columns, the first left-aligned, others right-aligned. */
 export function textTable(rows: ReadonlyArray<readonly string[]>): string {
   const columns = Math.max(0, ...rows.map(row => row.length));
   const widths = Array.from({length: columns}, (unused, column) =>
--- a/packages/experiment/src/scenarios/all_scenarios.ts
+++ b/packages/experiment/src/scenarios/all_scenarios.ts
@@ -9,7 +9,7 @@
 import {SteadyScenario} from './steady_scenario.js';
 import {VmsRestartedScenario} from './vms_restarted_scenario.js';
 
-/** All scenarios in the order in which reports list them. */
+/** All scenarios, in the order of the reports. */
 export const ALL_SCENARIOS: readonly Scenario[] = [
   new SteadyScenario(),
   new NoisyWorkspaceScenario(),
--- a/packages/experiment/src/scenarios/baselines.ts
+++ b/packages/experiment/src/scenarios/baselines.ts
@@ -1,31 +1,32 @@
-/** A policy that a run compares with the default. */
+/** A policy with which the default is compared. */
 export interface Baseline {
   readonly name: string;
   /** Values of the `[policy]` section of the VMs' settings. */
   readonly policy: Readonly<Record<string, string>>;
-  /** Whether the VMs act on the setting yet. */
-  readonly state: 'wired' | 'not-wired';
+  /** Whether the VMs implement the setting. */
+  readonly state: 'implemented' | 'not-implemented';
 }
 
+/** One baseline for each setting of the `[policy]` section. */
 export const BASELINES: readonly Baseline[] = [
   {
     name: 'reads=primary-only',
     policy: {reads: 'primary-only'},
-    state: 'wired',
+    state: 'implemented',
   },
   {
     name: 'acknowledge=at-primary',
     policy: {acknowledge: 'at-primary'},
-    state: 'wired',
+    state: 'implemented',
   },
   {
     name: 'queue=arrival-order',
     policy: {queue: 'arrival-order'},
-    state: 'wired',
+    state: 'implemented',
   },
   {
     name: 'rates=static-shares',
     policy: {rates: 'static-shares'},
-    state: 'not-wired',
+    state: 'not-implemented',
   },
 ];
--- a/packages/experiment/src/scenarios/find_primary.ts
+++ b/packages/experiment/src/scenarios/find_primary.ts
@@ -7,19 +7,19 @@
 const FIND_TIMEOUT_MS = 3_000;
 const FIND_INTERVAL_MS = 50;
 
-/** A member with the state that it reported. */
+/** A member that responded, with the state that it reported. */
 export interface KnownMember {
   readonly name: string;
   readonly state: MemberState;
 }
 
-/** The database that holds the data of the first, large workspace. */
+/** Returns the database of the first workspace, which is a large one. */
 export function busiestDatabase(profile: Profile): string {
   const workspace = profile.workspaces[0]?.name ?? '';
   return rendezvousOrder(workspace, databaseNames(profile))[0] ?? '';
 }
 
-/** The members of a database that answer, the most recent one first. */
+/** Returns the members that respond, the one with the longest log first. */
 export async function reachableMembers(
   fleet: Fleet,
   database: string,
@@ -32,10 +32,10 @@
   );
   return states
     .flatMap(({name, state}) => (state ? [{name, state}] : []))
-    .sort((a, b) => compare(b.state, a.state));
+    .sort((a, b) => compareLogs(b.state, a.state));
 }
 
-/** The primary of a database in its highest term, if one answers. */
+/** Returns the responding primary with the highest term, if there is one. */
 export async function findPrimary(
   fleet: Fleet,
   database: string,
@@ -46,7 +46,10 @@
     .sort((a, b) => b.state.term - a.state.term)[0];
 }
 
-/** Asks again for a while, as the VMs may hold all connections of a member. */
+/**
+ * Retries `findPrimary` until a timeout, as the VMs may hold all connections
+ * that a member accepts.
+ */
 export async function waitForPrimary(
   fleet: Fleet,
   database: string,
@@ -59,7 +62,7 @@
   }
 }
 
-function compare(a: MemberState, b: MemberState): number {
+function compareLogs(a: MemberState, b: MemberState): number {
   return (
     a.received.term - b.received.term ||
     a.received.position - b.received.position
--- a/packages/experiment/src/scenarios/primary_killed_scenario.ts
+++ b/packages/experiment/src/scenarios/primary_killed_scenario.ts
@@ -1,6 +1,6 @@
 import {PrimarySignalScenario} from './primary_signal_scenario.js';
 
-/** The primary's process dies and does not come back. */
+/** The primary's process is killed and not restarted. */
 export class PrimaryKilledScenario extends PrimarySignalScenario {
   override readonly name = 'primary-killed';
   protected override readonly signal = 'SIGKILL';
--- a/packages/experiment/src/scenarios/read_contents.ts
+++ b/packages/experiment/src/scenarios/read_contents.ts
@@ -11,25 +11,25 @@
   ['load_note', 'note_id'],
 ];
 
-/** The contents of all databases, and what to know about the reading. */
+/** The contents of all databases, and notes on members that did not respond. */
 export interface FinalContents {
   readonly contents: Contents;
   readonly notes: readonly string[];
 }
 
 /**
- * Reads what the databases hold. The VMs must have stopped, since they hold
- * the members' connections. Without a primary the replica with the longest log
- * is read, because a majority held each acknowledged write.
+ * Reads the contents of all databases. The VMs must have stopped, since they
+ * occupy the members' connections. Without a primary, the replica with the
+ * longest log is read: each acknowledged write was stored by a majority.
  */
 export async function readContents(fleet: Fleet): Promise<FinalContents> {
   const contents = new Map<string, number>();
   const notes: string[] = [];
   for (const database of databaseNames(fleet.profile)) {
     const primary = await findPrimary(fleet, database);
-    const member = primary ?? (await mostRecent(fleet, database));
+    const member = primary ?? (await waitForLongestLog(fleet, database));
     if (!member) {
-      notes.push(`${database} has no member that answers`);
+      notes.push(`no member of ${database} responds`);
       continue;
     }
     if (!primary) notes.push(`${database} has no primary; read ${member.name}`);
@@ -38,8 +38,8 @@
   return {contents, notes};
 }
 
-/** Waits until the replica with the longest log has applied it. */
-async function mostRecent(fleet: Fleet, database: string) {
+/** Returns the replica with the longest log, after it has applied that log. */
+async function waitForLongestLog(fleet: Fleet, database: string) {
   const until = Date.now() + APPLY_TIMEOUT_MS;
   for (;;) {
     const [best] = await reachableMembers(fleet, database);
--- a/packages/experiment/src/scenarios/replicas_behind_scenario.ts
+++ b/packages/experiment/src/scenarios/replicas_behind_scenario.ts
@@ -2,10 +2,10 @@
 import {RUN, Scenario} from './scenario.js';
 import type {ScenarioOutcome} from './scenario.js';
 
-/** More than the age that any read of the load accepts. */
+/** Longer than the maximum age of every read in the load. */
 const APPLY_LAG_MS = 3_000;
 
-/** All replicas apply what they receive three seconds later. */
+/** All replicas apply entries three seconds after they receive them. */
 export class ReplicasBehindScenario extends Scenario {
   override readonly name = 'replicas-behind';
 
--- a/packages/experiment/src/scenarios/run_scenario.ts
+++ b/packages/experiment/src/scenarios/run_scenario.ts
@@ -9,11 +9,11 @@
 import type {Scenario} from './scenario.js';
 import type {Mark, ScenarioRun} from './scenario_run.js';
 
-/** Statements offered as a share of each workspace's rate. */
-const LOAD = 0.5;
-/** The start of a run that the measures leave out. */
+/** The load of each workspace as a share of its rate. */
+const LOAD_SHARE = 0.5;
+/** The first part of a run, which the measures exclude. */
 const WARM_UP_MS = 1_000;
-/** Time for statements that the members still execute without a caller. */
+/** Time for members to finish statements whose caller is gone. */
 const SETTLE_MS = 300;
 
 const TABLES = [
@@ -22,15 +22,20 @@
   'CREATE TABLE load_note (note_id VARCHAR(64) PRIMARY KEY)',
 ];
 
+/** The fleet, the policy and the load of one run. */
 export interface RunOptions {
   readonly profile: Profile;
+  /** `default`, or the name of the baseline in `profile.policy`. */
   readonly policy: string;
   readonly seed: number;
   readonly durationMs: number;
   readonly buildFolder: string;
 }
 
-/** Starts a fleet, runs the load with the scenario's faults and measures. */
+/**
+ * Starts a fleet, runs the load while the scenario injects its faults, and
+ * computes the measures. Checks the history against the final contents.
+ */
 export async function runScenario(
   scenario: Scenario,
   options: RunOptions,
@@ -53,12 +58,16 @@
 ): Promise<ScenarioRun> {
   const {seed, durationMs, policy} = options;
   const {profile} = fleet;
-  const plan = {durationMs, load: LOAD, factors: scenario.factors(profile)};
+  const plan = {
+    durationMs,
+    load: LOAD_SHARE,
+    factors: scenario.factors(profile),
+  };
   const generator = new LoadGenerator(profile, plan, () => fleet.vms, seed);
   const clock = () => generator.clock();
   const sampler = new ReadSampler(() => fleet.vms, clock);
   const marks: Mark[] = [];
-  const running = generator.run();
+  const loadRun = generator.run();
   await sampler.start();
   const outcome = await scenario.inject({
     fleet,
@@ -66,7 +75,7 @@
     until: share => sleep(share * durationMs - clock()),
     mark: label => marks.push({at: Math.round(clock()), label}),
   });
-  const load = await running;
+  const load = await loadRun;
   await sampler.stop();
   await Promise.all(fleet.vms.map(vm => vm.child.kill()));
   await sleep(SETTLE_MS);
--- a/packages/experiment/src/scenarios/scenario.ts
+++ b/packages/experiment/src/scenarios/scenario.ts
@@ -1,6 +1,7 @@
 import type {Fleet, Profile} from '@pistachiorill/launcher';
 import type {RequestRecord} from '../load/request_record.js';
 
+/** The names of scenarios on the command line and in reports. */
 export type ScenarioName =
   | 'steady'
   | 'noisy-workspace'
@@ -12,44 +13,45 @@
   | 'vms-restarted'
   | 'primary-isolated';
 
-/** Whether the fault of a scenario took place. */
+/** Whether the fault of a scenario was injected. */
 export type ScenarioOutcome =
   | {readonly kind: 'run'}
-  /** A hook for the fault is missing, so the figures would mean nothing. */
+  /** The fault could not be injected, so there are no meaningful figures. */
   | {readonly kind: 'not-available'; readonly reason: string};
 
-/** What a scenario may use while the load runs. */
+/** The collaborators of a scenario while the load runs. */
 export interface ScenarioContext {
   readonly fleet: Fleet;
   /** Waits until a share (0 to 1) of the load's duration has passed. */
   readonly until: (share: number) => Promise<void>;
   /** Milliseconds since the start of the load. */
   readonly clock: () => number;
-  /** Notes an event for the report. */
+  /** Adds an event at the current time to the report. */
   readonly mark: (label: string) => void;
 }
 
-/** One situation that the fleet is measured in. */
+/** A situation, usually a fault, in which a fleet is measured. */
 export abstract class Scenario {
   abstract readonly name: ScenarioName;
 
-  /** The fleet that the scenario needs. */
+  /** Returns the given profile with the changes that the scenario requires. */
   profile(profile: Profile): Profile {
     return profile;
   }
 
-  /** Workspaces that offer a multiple of the usual load. */
+  /** Returns factors of the usual load, by workspace; the default is 1. */
   factors(unusedProfile: Profile): ReadonlyMap<string, number> {
     return new Map();
   }
 
-  /** What else the requests show about the scenario. */
+  /** Returns notes on the requests that are specific to the scenario. */
   review(unusedRequests: readonly RequestRecord[]): string[] {
     return [];
   }
 
-  /** Causes the faults, and removes them before the load ends. */
+  /** Injects the faults, and reverts them before the load ends. */
   abstract inject(context: ScenarioContext): Promise<ScenarioOutcome>;
 }
 
+/** The outcome of a scenario that has run with its fault, if it has one. */
 export const RUN: ScenarioOutcome = {kind: 'run'};
--- a/packages/experiment/src/scenarios/scenario_run.ts
+++ b/packages/experiment/src/scenarios/scenario_run.ts
@@ -5,6 +5,7 @@
 
 /** An event that the report shows on its time axis. */
 export interface Mark {
+  /** Milliseconds since the start of the load. */
   readonly at: number;
   readonly label: string;
 }
@@ -18,11 +19,12 @@
   readonly seed: number;
   readonly durationMs: number;
   readonly outcome: ScenarioOutcome;
-  /** Absent when the fault was not available. */
+  /** Absent if the fault could not be injected, like `check`. */
   readonly measures?: Measures;
   readonly check?: CheckResult;
   readonly reads: readonly ReadSample[];
   readonly marks: readonly Mark[];
   readonly notes: readonly string[];
+  /** p99 of the load generator's event loop delay. */
   readonly generatorDelayMs: number;
 }
--- a/packages/experiment/src/scenarios/steady_scenario.ts
+++ b/packages/experiment/src/scenarios/steady_scenario.ts
@@ -1,7 +1,7 @@
 import {RUN, Scenario} from './scenario.js';
 import type {ScenarioOutcome} from './scenario.js';
 
-/** No fault; each workspace offers half of its rate. */
+/** No fault; each workspace sends half of its rate. */
 export class SteadyScenario extends Scenario {
   override readonly name = 'steady';
 
--- a/packages/experiment/src/scenarios/vms_restarted_scenario.ts
+++ b/packages/experiment/src/scenarios/vms_restarted_scenario.ts
@@ -1,10 +1,10 @@
 import {RUN, Scenario} from './scenario.js';
 import type {ScenarioContext, ScenarioOutcome} from './scenario.js';
 
-const FIRST_AT = 0.2;
-const LAST_AT = 0.9;
+const FIRST_AT_SHARE = 0.2;
+const LAST_AT_SHARE = 0.9;
 
-/** Each VM in turn is stopped with SIGTERM and replaced by a new process. */
+/** Stops each VM in turn with SIGTERM and restarts it as a new process. */
 export class VmsRestartedScenario extends Scenario {
   override readonly name = 'vms-restarted';
 
@@ -12,7 +12,10 @@
     const {fleet, until, mark} = context;
     const vms = [...fleet.vms];
     for (const [index, {name, child}] of vms.entries()) {
-      await until(FIRST_AT + ((LAST_AT - FIRST_AT) * index) / vms.length);
+      await until(
+        FIRST_AT_SHARE +
+          ((LAST_AT_SHARE - FIRST_AT_SHARE) * index) / vms.length,
+      );
       mark(`SIGTERM ${name}`);
       const exitCode = await child.stop();
       await fleet.restartVm(name);
