--- a/packages/experiment/src/load/load_generator.ts
+++ b/packages/experiment/src/load/load_generator.ts
@@ -129,7 +129,7 @@
       const lateMs = this.clock() - request.plannedAt;
       this.requests.push(
         lateMs > PATIENCE_MS
-          ? this.abandonedRecord(request)
+          ? this.abandoned(request)
           : await session.perform(request),
       );
       request = load.waiting.shift();
@@ -137,7 +137,8 @@
     load.free.unshift(session);
   }
 
-  private abandonedRecord(request: PlannedRequest): RequestRecord {
+  /** Returns the record of a request that was not sent in time. */
+  private abandoned(request: PlannedRequest): RequestRecord {
     return {
       ...request,
       database: this.databaseOf(request.workspace),
