--- a/packages/experiment/src/load/client_connection.ts
+++ b/packages/experiment/src/load/client_connection.ts
@@ -82,6 +82,7 @@
     }
   }
 
+  /** Closes the connection without waiting for a running statement. */
   close(): void {
     this.connection.destroy();
   }
--- a/packages/experiment/src/load/load_session.ts
+++ b/packages/experiment/src/load/load_session.ts
@@ -89,6 +89,7 @@
     return this.recordOf(request, answer, interruptions);
   }
 
+  /** Closes the current connection, if there is one. */
   close(): void {
     this.connection?.close();
   }
@@ -217,8 +218,8 @@
       await this.readToken(writes[0]);
     }
     if (!failed) return last;
-    // A statement before COMMIT failed, so the transaction did not run, whatever
-    // the outcome of that statement.
+    // A statement before COMMIT failed, so the transaction did not run,
+    // regardless of the outcome of that statement.
     return {...failed, outcome: 'not-run'};
   }
 
--- a/packages/launcher/src/__tests__/configuration.test.ts
+++ b/packages/launcher/src/__tests__/configuration.test.ts
@@ -120,7 +120,7 @@
   });
 
   // Guards against new work in a data centre that is out of service, and
-  // against a data centre that gets no work after its return.
+  // against a data centre that remains unused after its return.
   it('takes a data centre out of service and back', async () => {
     const {closed} = await connect('warner-c');
     await fleet.promote({dataCentresOut: ['warner-c']});
--- a/packages/standins/src/link/link_server.ts
+++ b/packages/standins/src/link/link_server.ts
@@ -3,7 +3,7 @@
 import {performance} from 'node:perf_hooks';
 import {splitAddress} from '@pistachiorill/mysql';
 
-/** Whether a link relays data (`open`) or holds it back (`cut`). */
+/** Whether a link relays data (`open`) or buffers it (`cut`). */
 export type LinkState = 'open' | 'cut';
 
 /** The faults of a link, which can change while it relays. */
@@ -11,7 +11,7 @@
   readonly state: LinkState;
   /** Delay in each direction. */
   readonly delayMs: number;
-  /** Addresses of clients for which the link is cut, whatever `state` says. */
+  /** Addresses of clients for which the link is cut even while it is open. */
   readonly cutSources: readonly string[];
 }
 
--- a/packages/standins/src/member/member_message.ts
+++ b/packages/standins/src/member/member_message.ts
@@ -11,7 +11,7 @@
 
 type ControlReply = Reply<Result<MemberState, MemberError>>;
 
-/** Messages to the task that owns a member's data. */
+/** Messages to `MemberTask`, which owns the log and the data of a member. */
 export type MemberMessage =
   | {
       readonly kind: 'statement';
--- a/packages/standins/src/member/storage.ts
+++ b/packages/standins/src/member/storage.ts
@@ -19,6 +19,7 @@
     this.working = new engine.Database();
   }
 
+  /** Loads the SQL engine and returns an empty storage. */
   static async create(): Promise<Storage> {
     return new Storage(await initSqlJs());
   }
