--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -1,4 +1,4 @@
-import {hashOf} from '@pistachiorill/core';
+import {documentHashOf} from '@pistachiorill/core';
 import {EXIT_CODES} from '../support/exit_code.js';
 import type {ExitCode} from '../support/exit_code.js';
 import {loadDocument} from '../support/load_document.js';
@@ -13,6 +13,6 @@
     `${path}: valid; ${sections.database.length} databases, ` +
       `${sections.workspace.length} workspaces, ${sections.key.length} keys`,
   );
-  out.print(`hash ${hashOf(body)}`);
+  out.print(`hash ${documentHashOf(body)}`);
   return EXIT_CODES.done;
 }
--- a/packages/cli/src/commands/promote.ts
+++ b/packages/cli/src/commands/promote.ts
@@ -1,7 +1,7 @@
 import {randomUUID} from 'node:crypto';
 import {performance} from 'node:perf_hooks';
 import {setTimeout as delay} from 'node:timers/promises';
-import {hashOf} from '@pistachiorill/core';
+import {documentHashOf} from '@pistachiorill/core';
 import type {
   Environment,
   PromotionOutcome,
@@ -14,11 +14,11 @@
 import {describeOutcome} from '../support/describe_outcome.js';
 import {EXIT_CODES} from '../support/exit_code.js';
 import type {ExitCode} from '../support/exit_code.js';
-import {LastVmList} from '../support/last_vm_list.js';
+import {CachedVmList} from '../support/last_vm_list.js';
 import {loadDocument} from '../support/load_document.js';
 import type {Output} from '../support/output.js';
 import type {Platform} from '../support/platform.js';
-import {readCurrent} from '../support/read_current.js';
+import {readCurrentDocument} from '../support/read_current.js';
 import {recordPromotion} from '../support/record_promotion.js';
 
 const WRITE_TIMEOUT_MS = 10_000;
@@ -45,7 +45,7 @@
 ): Promise<ExitCode> {
   const document = loadDocument(options.path, out);
   if (!document) return EXIT_CODES.invalid;
-  const current = await readCurrent(options.environment, platform);
+  const current = await readCurrentDocument(options.environment, platform);
   if (!current.ok) {
     out.warn(`not promoted: ${current.err}; nothing was changed`);
     return EXIT_CODES.unavailable;
@@ -56,7 +56,7 @@
   if (options.mode === 'show-changes') return EXIT_CODES.done;
 
   const operationId = randomUUID();
-  const list = new LastVmList(platform.vms);
+  const list = new CachedVmList(platform.vms);
   await list.read();
   const outcome = await promoteDocument(
     document.body,
@@ -69,7 +69,7 @@
         list,
         {
           environment: options.environment,
-          hash: hashOf(document.body),
+          hash: documentHashOf(document.body),
           body: document.body,
         },
       ),
@@ -83,7 +83,7 @@
       actor: options.actor,
       operationId,
       before: row,
-      hash: hashOf(document.body),
+      hash: documentHashOf(document.body),
       changes,
       outcome,
     },
@@ -113,7 +113,7 @@
   const now = performance.now();
   return {
     environment: options.environment,
-    hash: hashOf(body),
+    hash: documentHashOf(body),
     operationId,
     actor: options.actor,
     // Only the version that the printed changes refer to may be replaced.
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,12 +1,12 @@
 import type {Environment} from '@pistachiorill/core';
 import {readVmStatuses} from '@pistachiorill/store';
-import type {GroupStatus, VmStatusAnswer} from '@pistachiorill/store';
+import type {GroupStatus, VmStatusResult} from '@pistachiorill/store';
 import {EXIT_CODES} from '../support/exit_code.js';
 import type {ExitCode} from '../support/exit_code.js';
 import {formatTable} from '../support/format_table.js';
 import type {Output} from '../support/output.js';
 import type {Platform} from '../support/platform.js';
-import {readCurrent} from '../support/read_current.js';
+import {readCurrentDocument} from '../support/read_current.js';
 
 /**
  * Prints the version in force, what is out of service, and the status of VMs
@@ -17,7 +17,7 @@
   platform: Platform,
   out: Output,
 ): Promise<ExitCode> {
-  const current = await readCurrent(environment, platform);
+  const current = await readCurrentDocument(environment, platform);
   const answers = await readVmStatuses(platform.vms, platform.timeoutMs);
   if (!current.ok) out.warn(`the document is not known: ${current.err}`);
   if (!answers) out.warn('the list of VMs could not be read');
@@ -66,7 +66,7 @@
   for (const line of formatTable(rows)) out.print(`  ${line}`);
 }
 
-function vmRows(answers: readonly VmStatusAnswer[]): string[][] {
+function vmRows(answers: readonly VmStatusResult[]): string[][] {
   const rows = answers.map(answer => {
     const {vm, dataCentre, state} = answer.listed;
     if (answer.kind !== 'status') {
@@ -109,7 +109,7 @@
  * the one with the highest term is used, and among equal terms the one with the
  * most reachable members.
  */
-function groupRows(answers: readonly VmStatusAnswer[]): string[][] {
+function groupRows(answers: readonly VmStatusResult[]): string[][] {
   const best = new Map<string, GroupStatus>();
   for (const answer of answers) {
     if (answer.kind !== 'status') continue;
--- a/packages/cli/src/support/describe_outcome.ts
+++ b/packages/cli/src/support/describe_outcome.ts
@@ -19,12 +19,12 @@
     case 'already-in-force':
       return {
         exitCode:
-          outcome.spread === 'all' ? EXIT_CODES.done : EXIT_CODES.incomplete,
+          outcome.rollout === 'all' ? EXIT_CODES.done : EXIT_CODES.incomplete,
         lines: [
           outcome.kind === 'promoted'
             ? `promoted: version ${outcome.version} is in force`
             : `already in force as version ${outcome.version}; nothing was changed`,
-          ...describeVms(outcome.vms, outcome.version, outcome.spread),
+          ...describeVms(outcome.vms, outcome.version, outcome.rollout),
         ],
       };
     case 'conflict':
@@ -78,15 +78,15 @@
 function describeVms(
   vms: readonly VmReport[],
   version: number,
-  spread: 'all' | 'majority' | 'minority' | 'unknown',
+  rollout: 'all' | 'majority' | 'minority' | 'unknown',
 ): readonly string[] {
-  if (spread === 'unknown') return ['the list of VMs could not be read'];
-  const live = vms.filter(vm => vm.listed === 'live');
+  if (rollout === 'unknown') return ['the list of VMs could not be read'];
+  const live = vms.filter(vm => vm.platformState === 'live');
   const running = live.filter(vm => runsVersion(vm, version));
-  const majority = spread === 'minority' ? 'NOT a majority' : 'a majority';
+  const majority = rollout === 'minority' ? 'NOT a majority' : 'a majority';
   return [
     `${running.length} of ${live.length} live VMs run version ${version}` +
-      (spread === 'all' ? '' : ` (${majority})`),
+      (rollout === 'all' ? '' : ` (${majority})`),
     ...vms.map(vm => `  ${vm.vm} (${vm.dataCentre}): ${stateOf(vm)}`),
   ];
 }
@@ -98,5 +98,5 @@
 function stateOf(vm: VmReport): string {
   const state =
     vm.kind === 'applied' ? `version ${vm.version}` : `no answer, ${vm.detail}`;
-  return vm.listed === 'leaving' ? `${state}, leaving` : state;
+  return vm.platformState === 'leaving' ? `${state}, leaving` : state;
 }
--- a/packages/cli/src/support/last_vm_list.ts
+++ b/packages/cli/src/support/last_vm_list.ts
@@ -7,7 +7,7 @@
  * Returns the last list that was read if the platform is unavailable, so that a
  * version can be announced even if the platform fails right after the write.
  */
-export class LastVmList extends VmList {
+export class CachedVmList extends VmList {
   private lastRead: readonly ListedVm[] | undefined;
 
   constructor(private readonly list: VmList) {
--- a/packages/cli/src/support/read_current.ts
+++ b/packages/cli/src/support/read_current.ts
@@ -23,7 +23,7 @@
  * Reads the document in force and retries failed requests. The error states
  * which service failed.
  */
-export async function readCurrent(
+export async function readCurrentDocument(
   environment: Environment,
   platform: Platform,
 ): Promise<Result<CurrentDocument, string>> {
--- a/packages/core/src/admission/__tests__/queue_policy.test.ts
+++ b/packages/core/src/admission/__tests__/queue_policy.test.ts
@@ -17,7 +17,7 @@
       const queue = create();
       const arrivals = ['a', 'a', 'a', 'a', 'a', 'a', 'b', 'c', 'b', 'c'];
       const outcomes = arrivals.map((workspace, item) =>
-        queue.enqueue({workspace, until: item === 2 ? 5 : 100, item}),
+        queue.enqueue({workspace, deadline: item === 2 ? 5 : 100, item}),
       );
       const ahead = ['a', 'b', 'd'].map(name => queue.entriesAhead(name));
       const expired = queue.removeExpired(10).map(entry => entry.item);
--- a/packages/core/src/admission/deficit_round_robin_policy.ts
+++ b/packages/core/src/admission/deficit_round_robin_policy.ts
@@ -58,7 +58,7 @@
   }
 
   /** Puts a dequeued entry that could not be served back at the front. */
-  putBack(entry: QueueEntry<T>): void {
+  requeue(entry: QueueEntry<T>): void {
     const others = [...this.active].filter(([key]) => key !== entry.workspace);
     const queue = this.active.get(entry.workspace) ?? {entries: [], deficit: 0};
     queue.entries.unshift(entry);
@@ -71,8 +71,8 @@
   override removeExpired(now: number): ReadonlyArray<QueueEntry<T>> {
     const expired: Array<QueueEntry<T>> = [];
     for (const [workspace, queue] of this.active) {
-      expired.push(...queue.entries.filter(entry => entry.until <= now));
-      queue.entries = queue.entries.filter(entry => entry.until > now);
+      expired.push(...queue.entries.filter(entry => entry.deadline <= now));
+      queue.entries = queue.entries.filter(entry => entry.deadline > now);
       if (queue.entries.length === 0) this.active.delete(workspace);
     }
     this.total -= expired.length;
--- a/packages/core/src/admission/expected_wait.ts
+++ b/packages/core/src/admission/expected_wait.ts
@@ -1,5 +1,5 @@
 /** An estimate of the service time in one connection pool. */
-export interface ServiceEstimate {
+export interface ServiceTimeEstimate {
   /** The mean time for which a statement holds a connection; 0 if unknown. */
   readonly meanMs: number;
 }
@@ -9,9 +9,9 @@
 
 /** Returns the estimate after one more statement. */
 export function afterService(
-  estimate: ServiceEstimate,
+  estimate: ServiceTimeEstimate,
   heldMs: number,
-): ServiceEstimate {
+): ServiceTimeEstimate {
   if (estimate.meanMs === 0) return {meanMs: heldMs};
   const {meanMs} = estimate;
   return {meanMs: meanMs + (heldMs - meanMs) * LATEST_SAMPLE_WEIGHT};
@@ -23,7 +23,7 @@
  * time divided by their number.
  */
 export function expectedWaitMs(
-  estimate: ServiceEstimate,
+  estimate: ServiceTimeEstimate,
   ahead: number,
   connections: number,
 ): number {
--- a/packages/core/src/admission/fifo_policy.ts
+++ b/packages/core/src/admission/fifo_policy.ts
@@ -21,8 +21,8 @@
   }
 
   override removeExpired(now: number): ReadonlyArray<QueueEntry<T>> {
-    const expired = this.entries.filter(entry => entry.until <= now);
-    this.entries = this.entries.filter(entry => entry.until > now);
+    const expired = this.entries.filter(entry => entry.deadline <= now);
+    this.entries = this.entries.filter(entry => entry.deadline > now);
     return expired;
   }
 
--- a/packages/core/src/admission/queue_policy.ts
+++ b/packages/core/src/admission/queue_policy.ts
@@ -2,7 +2,7 @@
 export interface QueueEntry<T> {
   readonly workspace: string;
   /** The time at which the statement stops waiting for a connection. */
-  readonly until: number;
+  readonly deadline: number;
   readonly item: T;
 }
 
--- a/packages/core/src/authority/__tests__/confirmation_limit.test.ts
+++ b/packages/core/src/authority/__tests__/confirmation_limit.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'vitest';
 import {Random} from '../../common/random.js';
 import {
-  CONFIRM_LIMIT_MS,
+  PROOF_VALIDITY_MS,
   initialAuthority,
   versionReport,
 } from '../authority_state.js';
@@ -132,7 +132,7 @@
       this.completedAt.set(this.stored, this.time);
     }
     for (const [version, at] of this.completedAt) {
-      if (this.time < at + CONFIRM_LIMIT_MS) continue;
+      if (this.time < at + PROOF_VALIDITY_MS) continue;
       for (const [vm, state] of this.states.entries()) {
         if (state.applied.configuration >= version) continue;
         if (confirmationAt(state, this.clockOf(vm)) === 'confirmed') {
@@ -155,7 +155,7 @@
   private deliverLater(run: () => void): void {
     // Some messages are delayed for longer than a proof is valid.
     const maxDelayMs =
-      this.random.fraction() < 0.3 ? 3 * CONFIRM_LIMIT_MS : 500;
+      this.random.fraction() < 0.3 ? 3 * PROOF_VALIDITY_MS : 500;
     this.pending.push({
       at: this.time + this.random.integer(0, maxDelayMs),
       run,
--- a/packages/core/src/authority/authority_state.ts
+++ b/packages/core/src/authority/authority_state.ts
@@ -1,18 +1,18 @@
-import type {VersionReport, Versions} from '../membership/peer_record.js';
+import type {VersionReport, RowVersions} from '../membership/peer_record.js';
 
 /** How long a proof that the known versions are current remains valid. */
-export const CONFIRM_LIMIT_MS = 6_000;
+export const PROOF_VALIDITY_MS = 6_000;
 
 /**
  * How long a VM that reclaims a resource waits after a majority acknowledged the
  * change: the validity of a proof plus 10 % for clock drift.
  */
-export const RECLAIM_WAIT_MS = CONFIRM_LIMIT_MS * 1.1;
+export const RECLAIM_WAIT_MS = PROOF_VALIDITY_MS * 1.1;
 
 /** A proof that no change above `versions` had completed at time `at`. */
 export interface ConfirmationProof {
   readonly at: number;
-  readonly versions: Versions;
+  readonly versions: RowVersions;
 }
 
 /** The version found by a read of a store row, and when the read started. */
@@ -23,8 +23,8 @@
 
 /** The latest report of one incarnation of a VM. */
 export interface PeerReport {
-  readonly known: Versions;
-  readonly applied: Versions;
+  readonly known: RowVersions;
+  readonly applied: RowVersions;
   /**
    * The time at which the probe that the report answers was sent. Undefined if
    * no probe was answered: an unsolicited report may have been in transit for
@@ -54,9 +54,9 @@
   /** The VM's incarnation. */
   readonly instance: string;
   /** The highest versions that the VM has read or received. */
-  readonly known: Versions;
+  readonly known: RowVersions;
   /** The versions in force on this VM. */
-  readonly applied: Versions;
+  readonly applied: RowVersions;
   /** The VMs that hold shares in the latest applied ledger version. */
   readonly ledger: LedgerMembers;
   /** The latest read of each row. */
@@ -70,7 +70,7 @@
   readonly reports: ReadonlyMap<string, PeerReport>;
 }
 
-const NO_VERSIONS: Versions = {configuration: 0, ledger: 0};
+const NO_VERSIONS: RowVersions = {configuration: 0, ledger: 0};
 
 /** Returns the state of an incarnation that has no versions and no proofs. */
 export function initialAuthority(instance: string): AuthorityState {
@@ -86,12 +86,12 @@
 }
 
 /** Whether `a` is at least as high as `b` in each row. */
-export function coversVersions(a: Versions, b: Versions): boolean {
+export function coversVersions(a: RowVersions, b: RowVersions): boolean {
   return a.configuration >= b.configuration && a.ledger >= b.ledger;
 }
 
 /** Returns the higher version of each row. */
-export function highestVersions(a: Versions, b: Versions): Versions {
+export function highestVersions(a: RowVersions, b: RowVersions): RowVersions {
   return {
     configuration: Math.max(a.configuration, b.configuration),
     ledger: Math.max(a.ledger, b.ledger),
--- a/packages/core/src/authority/confirmation.ts
+++ b/packages/core/src/authority/confirmation.ts
@@ -1,7 +1,7 @@
-import type {Versions} from '../membership/peer_record.js';
+import type {RowVersions} from '../membership/peer_record.js';
 import {majorityOf} from '../routing/group_view.js';
 import type {Confirmation} from '../statement/statement.js';
-import {CONFIRM_LIMIT_MS, coversVersions} from './authority_state.js';
+import {PROOF_VALIDITY_MS, coversVersions} from './authority_state.js';
 import type {AuthorityState, LedgerMembers} from './authority_state.js';
 
 /**
@@ -12,7 +12,7 @@
 export function confirmedUntil(state: AuthorityState): number {
   const times = state.proofs
     .filter(proof => coversVersions(state.applied, proof.versions))
-    .map(proof => proof.at + CONFIRM_LIMIT_MS);
+    .map(proof => proof.at + PROOF_VALIDITY_MS);
   return Math.max(Number.NEGATIVE_INFINITY, ...times);
 }
 
@@ -27,7 +27,7 @@
 /** Returns the incarnations that have these versions in force, as reported. */
 export function acknowledgedBy(
   state: AuthorityState,
-  versions: Versions,
+  versions: RowVersions,
 ): string[] {
   const others = [...state.reports]
     .filter(([, report]) => coversVersions(report.applied, versions))
@@ -45,7 +45,7 @@
 export function isAcknowledgedByMajority(
   state: AuthorityState,
   members: LedgerMembers,
-  versions: Versions,
+  versions: RowVersions,
 ): boolean {
   const holders = new Set(acknowledgedBy(state, versions));
   const count = members.vms.filter(vm => holders.has(vm.instance)).length;
--- a/packages/core/src/authority/decide_authority.ts
+++ b/packages/core/src/authority/decide_authority.ts
@@ -1,7 +1,7 @@
-import type {VersionReport, Versions} from '../membership/peer_record.js';
+import type {VersionReport, RowVersions} from '../membership/peer_record.js';
 import {majorityOf} from '../routing/group_view.js';
 import {
-  CONFIRM_LIMIT_MS,
+  PROOF_VALIDITY_MS,
   coversVersions,
   highestVersions,
 } from './authority_state.js';
@@ -34,7 +34,7 @@
       readonly report: VersionReport;
     }
   /** This VM applied versions, which are now in force on it. */
-  | {readonly kind: 'applied'; readonly versions: Partial<Versions>}
+  | {readonly kind: 'applied'; readonly versions: Partial<RowVersions>}
   /** The VMs that hold shares in the ledger version that this VM applied. */
   | {readonly kind: 'ledger-members'; readonly members: LedgerMembers};
 
@@ -155,7 +155,7 @@
     )
     .sort((a, b) => b - a);
   const at = times[majorityOf(ledger.vms.length) - 1];
-  if (at === undefined || at < now - CONFIRM_LIMIT_MS) return state;
+  if (at === undefined || at < now - PROOF_VALIDITY_MS) return state;
   return withProof(state, {at, versions: known}, now);
 }
 
@@ -170,7 +170,7 @@
   now: number,
 ): AuthorityState {
   const current = state.proofs.filter(
-    other => other.at > now - CONFIRM_LIMIT_MS,
+    other => other.at > now - PROOF_VALIDITY_MS,
   );
   if (current.some(other => supersedes(other, proof))) {
     return {...state, proofs: current};
--- a/packages/core/src/authority/probes_for_proof.ts
+++ b/packages/core/src/authority/probes_for_proof.ts
@@ -15,7 +15,7 @@
  * the newest proof is due for renewal. In a large fleet, the membership rounds
  * alone take longer to reach a majority than a proof is valid.
  */
-export function probesForProof(
+export function proofProbeTargets(
   state: AuthorityState,
   running: readonly string[],
   now: number,
--- a/packages/core/src/common/representatives.ts
+++ b/packages/core/src/common/representatives.ts
@@ -10,7 +10,7 @@
  * a small fleet, and a few of a large one. These are selected by a key, so that
  * the tasks of different keys spread over the fleet.
  */
-export function representativesOf(
+export function selectRepresentatives(
   key: string,
   vms: readonly string[],
 ): readonly string[] {
--- a/packages/core/src/configuration/__tests__/drain.test.ts
+++ b/packages/core/src/configuration/__tests__/drain.test.ts
@@ -1,6 +1,6 @@
 import {expect, it} from 'vitest';
 import type {Configuration} from '../configuration.js';
-import {drainReasons, mayAccept} from '../drain.js';
+import {drainReasons, acceptsNewStatements} from '../drain.js';
 
 function withStates(a: 'in-service' | 'out'): Configuration {
   return {
@@ -25,7 +25,7 @@
   'drain reasons of a VM in data centre %s, stop %s, platform state %s',
   (dataCentre, stop, listed, configuration) => {
     expect(
-      drainReasons({dataCentre, stop, listed, configuration}),
+      drainReasons({dataCentre, stop, platformState: listed, configuration}),
     ).toMatchSnapshot();
   },
 );
@@ -44,7 +44,7 @@
     (['in-service', 'leaving'] as const).flatMap(state =>
       (['in-service', 'out'] as const).map(
         a =>
-          `${state} in ${a}: ${mayAccept({...server, state}, withStates(a))}`,
+          `${state} in ${a}: ${acceptsNewStatements({...server, state}, withStates(a))}`,
       ),
     ),
   ).toMatchSnapshot();
--- a/packages/core/src/configuration/__tests__/promotion.test.ts
+++ b/packages/core/src/configuration/__tests__/promotion.test.ts
@@ -7,7 +7,7 @@
 } from '../configuration_row.js';
 import {nextConfiguration} from '../next_configuration.js';
 import type {PromotionRequest, VmReport} from '../promotion.js';
-import {spreadOf} from '../promotion_machine.js';
+import {rolloutOf} from '../promotion_machine.js';
 import {FakeStore, PromotionRunner} from './fake_store.js';
 
 const FAULTS = ['down', 'lost', 'delayed'] as const;
@@ -151,15 +151,15 @@
     const vm = (listed: 'live' | 'leaving', version: number): VmReport => ({
       vm: 'a',
       dataCentre: 'a',
-      listed,
+      platformState: listed,
       kind: 'applied',
       version,
     });
     const live = (...versions: number[]) => versions.map(v => vm('live', v));
     expect({
-      all: spreadOf([...live(2, 3), vm('leaving', 1)], 2),
-      majority: spreadOf(live(2, 2, 1), 2),
-      half: spreadOf(live(2, 1), 2),
+      all: rolloutOf([...live(2, 3), vm('leaving', 1)], 2),
+      majority: rolloutOf(live(2, 2, 1), 2),
+      half: rolloutOf(live(2, 1), 2),
     }).toMatchSnapshot();
   });
 });
--- a/packages/core/src/configuration/configuration_index.ts
+++ b/packages/core/src/configuration/configuration_index.ts
@@ -11,7 +11,7 @@
   /** The names of the databases. */
   readonly names: readonly string[];
   /** The default database of each workspace, cached on its first use. */
-  readonly homes: Map<string, string>;
+  readonly defaultDatabases: Map<string, string>;
 }
 
 /** Lookup tables of one configuration, which is immutable. */
@@ -29,7 +29,9 @@
  * looks up its workspace and route, and a linear search takes 230 us with 8,000
  * workspaces.
  */
-export function indexOf(configuration: Configuration): ConfigurationIndex {
+export function configurationIndexOf(
+  configuration: Configuration,
+): ConfigurationIndex {
   const cached = indexes.get(configuration);
   if (cached) return cached;
   const index = buildIndex(configuration);
@@ -41,11 +43,14 @@
  * Returns the default database of a workspace, which its statements use unless
  * they name a shard.
  */
-export function homeOf(databases: NamedDatabases, workspace: string): string {
-  const cached = databases.homes.get(workspace);
+export function defaultDatabaseOf(
+  databases: NamedDatabases,
+  workspace: string,
+): string {
+  const cached = databases.defaultDatabases.get(workspace);
   if (cached !== undefined) return cached;
   const database = rendezvousOrder(workspace, databases.names)[0] as string;
-  databases.homes.set(workspace, database);
+  databases.defaultDatabases.set(workspace, database);
   return database;
 }
 
@@ -55,10 +60,10 @@
     const names = configuration.databases
       .filter(item => item.service === service)
       .map(item => item.name);
-    databases.set(service, {service, names, homes: new Map()});
+    databases.set(service, {service, names, defaultDatabases: new Map()});
   }
   for (const {name, service} of configuration.databases) {
-    databases.set(name, {service, names: [name], homes: new Map()});
+    databases.set(name, {service, names: [name], defaultDatabases: new Map()});
   }
   return {
     routes: new Map(configuration.routes.map(item => [item.name, item])),
--- a/packages/core/src/configuration/configuration_row.ts
+++ b/packages/core/src/configuration/configuration_row.ts
@@ -45,7 +45,7 @@
 }
 
 /** Returns the SHA-256 hash of a document body, in hexadecimal. */
-export function hashOf(body: string): string {
+export function documentHashOf(body: string): string {
   return createHash('sha256').update(body).digest('hex');
 }
 
--- a/packages/core/src/configuration/drain.ts
+++ b/packages/core/src/configuration/drain.ts
@@ -14,7 +14,7 @@
    * The state of the VM in the platform's list. A VM that is missing from the
    * list may still be alive, so it continues to serve.
    */
-  readonly listed: 'live' | 'leaving' | 'not-listed';
+  readonly platformState: 'live' | 'leaving' | 'not-listed';
   readonly dataCentre: string;
   /** Undefined until the first configuration is applied. */
   readonly configuration: Configuration | undefined;
@@ -27,7 +27,7 @@
 export function drainReasons(input: DrainInput): readonly DrainReason[] {
   const reasons: DrainReason[] = [];
   if (input.stop === 'requested') reasons.push('stopping');
-  if (input.listed === 'leaving') reasons.push('listed-leaving');
+  if (input.platformState === 'leaving') reasons.push('listed-leaving');
   if (
     input.configuration &&
     stateOf(input.configuration, input.dataCentre) === 'out'
@@ -38,7 +38,7 @@
 }
 
 /** Returns whether new statements may be sent to a member. */
-export function mayAccept(
+export function acceptsNewStatements(
   server: BackendServer,
   configuration: Configuration,
 ): boolean {
--- a/packages/core/src/configuration/promotion.ts
+++ b/packages/core/src/configuration/promotion.ts
@@ -25,7 +25,7 @@
   readonly vm: string;
   readonly dataCentre: string;
   /** The state of the VM in the platform's list. */
-  readonly listed: 'live' | 'leaving';
+  readonly platformState: 'live' | 'leaving';
 } & (
   | {readonly kind: 'applied'; readonly version: number}
   | {readonly kind: 'unreachable'; readonly detail: string}
@@ -83,7 +83,7 @@
       readonly version: number;
       readonly vms: readonly VmReport[];
       /** How many live VMs have applied the version. */
-      readonly spread: 'all' | 'majority' | 'minority' | 'unknown';
+      readonly rollout: 'all' | 'majority' | 'minority' | 'unknown';
     }
   /** Another version is in force, and the requested one never was. */
   | {readonly kind: 'conflict'; readonly current: VersionedRow | undefined}
--- a/packages/core/src/configuration/promotion_machine.ts
+++ b/packages/core/src/configuration/promotion_machine.ts
@@ -166,7 +166,7 @@
   reports: readonly VmReport[],
   now: number,
 ): PromotionProgress {
-  const rollout = spreadOf(reports, state.version);
+  const rollout = rolloutOf(reports, state.version);
   if (rollout !== 'all' && now < state.request.waitUntil) {
     return enterPhase(state, 'read-vms', VM_POLL_MS);
   }
@@ -174,7 +174,7 @@
     kind: state.result,
     version: state.version,
     vms: reports,
-    spread: rollout,
+    rollout: rollout,
   });
 }
 
@@ -182,11 +182,11 @@
  * Returns how many of the VMs that the platform lists as live have applied a
  * version or a later one.
  */
-export function spreadOf(
+export function rolloutOf(
   reports: readonly VmReport[],
   version: number,
 ): 'all' | 'majority' | 'minority' {
-  const live = reports.filter(report => report.listed === 'live');
+  const live = reports.filter(report => report.platformState === 'live');
   const applied = live.filter(
     report => report.kind === 'applied' && report.version >= version,
   );
@@ -209,7 +209,7 @@
       kind: state.result,
       version: state.version,
       vms: [],
-      spread: 'unknown',
+      rollout: 'unknown',
     });
   }
   const write =
--- a/packages/core/src/configuration/served_configuration.ts
+++ b/packages/core/src/configuration/served_configuration.ts
@@ -43,7 +43,7 @@
 }
 
 /** The quota and the regions of one workspace. */
-export interface ServedWorkspace {
+export interface WorkspaceSettings {
   readonly name: string;
   readonly limit: QuotaLimits;
   /** The regions whose members may serve the workspace; empty for all. */
@@ -51,12 +51,12 @@
 }
 
 /** One version of the configuration, indexed for lookups. */
-export interface ServedConfiguration {
+export interface RuntimeConfiguration {
   readonly version: number;
   /** By database name. */
   readonly routes: ReadonlyMap<string, DatabaseRoute>;
   readonly groups: ReadonlyMap<string, GroupSettings>;
-  readonly workspaces: ReadonlyMap<string, ServedWorkspace>;
+  readonly workspaces: ReadonlyMap<string, WorkspaceSettings>;
   /** The name of the workspace that holds each key. */
   readonly keys: ReadonlyMap<string, string>;
   /** How long an open transaction may wait for the next statement. */
--- a/packages/core/src/connections/group_owners.ts
+++ b/packages/core/src/connections/group_owners.ts
@@ -13,7 +13,7 @@
 }
 
 /** A group and the number of connections that its members accept. */
-export interface GroupSize {
+export interface GroupConnectionLimit {
   readonly database: string;
   /** The lowest connection limit among the members. */
   readonly connectionLimit: number;
@@ -25,7 +25,7 @@
  * connection limit allows.
  */
 export function groupOwners(
-  group: GroupSize,
+  group: GroupConnectionLimit,
   mode: RoutingMode,
   vms: readonly OwnerCandidate[],
 ): OwnerCandidate[] {
--- a/packages/core/src/failover/__fixtures__/fake_fleet.ts
+++ b/packages/core/src/failover/__fixtures__/fake_fleet.ts
@@ -438,7 +438,7 @@
       reports[name] = {...report, since: -60_000};
     }
     const awaitedClaimVersion = this.rowVersion;
-    vm.state = {...vm.state, reports, notBefore: 0, awaitedClaimVersion};
+    vm.state = {...vm.state, reports, noAttemptBefore: 0, awaitedClaimVersion};
     this.send(vm, this.observation(vm));
   }
 
--- a/packages/core/src/failover/advance_attempt.ts
+++ b/packages/core/src/failover/advance_attempt.ts
@@ -50,7 +50,7 @@
     fenced: {},
     promotion: 'pending',
     followed: [],
-    due: {},
+    dueAt: {},
   };
   return advanceAttempt(attempt, {kind: 'tick'}, now);
 }
@@ -125,7 +125,7 @@
     return abandon({...attempt, rowVersion: version}, 'claimed-by-other');
   }
   const term = Math.max(row?.term ?? 0, attempt.highestSeenTerm) + 1;
-  return {...attempt, term, row: 'write', rowVersion: version, due: {}};
+  return {...attempt, term, row: 'write', rowVersion: version, dueAt: {}};
 }
 
 function publishAfterRead(
@@ -137,7 +137,7 @@
   if (row && (row.term > attempt.term || published)) {
     return {...attempt, row: 'finished'};
   }
-  return {...attempt, row: 'write', rowVersion: version, due: {}};
+  return {...attempt, row: 'write', rowVersion: version, dueAt: {}};
 }
 
 function afterRowFailure(
@@ -152,8 +152,8 @@
   // After a conflict or an unknown outcome, only reading the row shows whether
   // the write took effect.
   return reason === 'unavailable'
-    ? {...attempt, due}
-    : {...attempt, due, row: 'read'};
+    ? {...attempt, dueAt: due}
+    : {...attempt, dueAt: due, row: 'read'};
 }
 
 function afterAnswer(
@@ -164,7 +164,10 @@
   const {backendServer: name, outcome, call} = event;
   if (call !== attempt.phase) return attempt;
   if (outcome.kind === 'no-answer') {
-    return {...attempt, due: {...attempt.due, [name]: now + RETRY_DELAY_MS}};
+    return {
+      ...attempt,
+      dueAt: {...attempt.dueAt, [name]: now + RETRY_DELAY_MS},
+    };
   }
   if (outcome.kind === 'refused') {
     // A refused `follow` does not end the attempt, because the promotion has
@@ -246,23 +249,23 @@
   if (Object.keys(attempt.fenced).length < majority) {
     return isTimedOut ? abandon(attempt, 'no-majority') : attempt;
   }
-  if (attempt.majorityAt === undefined) {
-    return {...attempt, majorityAt: now};
+  if (attempt.majorityFencedAt === undefined) {
+    return {...attempt, majorityFencedAt: now};
   }
   const isComplete = attempt.reachable.every(name => name in attempt.fenced);
-  return isComplete || now - attempt.majorityAt >= FENCE_WAIT_MS
+  return isComplete || now - attempt.majorityFencedAt >= FENCE_WAIT_MS
     ? enter(attempt, 'choose-candidate', now)
     : attempt;
 }
 
 /** Enters a phase, in which all calls are due at once. */
 function enter(attempt: Attempt, phase: AttemptPhase, now: number): Attempt {
-  return {...attempt, phase, phaseSince: now, due: {}};
+  return {...attempt, phase, phaseSince: now, dueAt: {}};
 }
 
 /** Emits the calls of the current phase that are due. */
 function emitDueCalls(attempt: Attempt, now: number): AttemptStep {
-  const due = {...attempt.due};
+  const due = {...attempt.dueAt};
   const actions: AttemptAction[] = [];
   for (const [target, action] of pendingCalls(attempt)) {
     if ((due[target] ?? now) > now) continue;
@@ -271,7 +274,7 @@
   }
   return actions.length === 0
     ? {attempt, actions}
-    : {attempt: {...attempt, due}, actions};
+    : {attempt: {...attempt, dueAt: due}, actions};
 }
 
 /** Returns the calls of the current phase that have not succeeded yet. */
--- a/packages/core/src/failover/attempt.ts
+++ b/packages/core/src/failover/attempt.ts
@@ -30,14 +30,14 @@
   | 'candidate-unreachable';
 
 /** Whether the operators' configuration allows a member to be primary. */
-export type Standing = 'allowed' | 'leaving';
+export type PrimaryEligibility = 'allowed' | 'leaving';
 
 /** A member of the group, as the configuration lists it. */
 export interface AttemptMember {
   readonly backendServer: string;
   /** Where the other members replicate from when it is primary. */
   readonly address: string;
-  readonly standing: Standing;
+  readonly standing: PrimaryEligibility;
 }
 
 /** The value of the store's row that serialises and records attempts. */
@@ -80,7 +80,7 @@
   /** The end of the log of each fenced member, by name of the member. */
   readonly fenced: Readonly<Record<string, LogPosition>>;
   /** When a majority of the members was fenced. */
-  readonly majorityAt?: number;
+  readonly majorityFencedAt?: number;
   /**
    * The member to promote. It never changes within an attempt, so that a term
    * has at most one candidate.
@@ -90,7 +90,7 @@
   /** The members that have confirmed that they follow the candidate. */
   readonly followed: readonly string[];
   /** When each call of the current phase is next sent, by target. */
-  readonly due: Readonly<Record<string, number>>;
+  readonly dueAt: Readonly<Record<string, number>>;
 }
 
 /** How a member answered a call. */
--- a/packages/core/src/failover/decide_failover.ts
+++ b/packages/core/src/failover/decide_failover.ts
@@ -99,7 +99,7 @@
     return {state: step.state, actions: [...actions, ...step.actions]};
   }
   const reason = reasonToStart(state, view, assessment, now);
-  if (reason && now >= state.notBefore) {
+  if (reason && now >= state.noAttemptBefore) {
     const step = startNewAttempt(state, view, reason, random, now);
     return {state: step.state, actions: [...actions, ...step.actions]};
   }
@@ -142,15 +142,20 @@
   view: GroupView,
   now: number,
 ): FailoverState {
-  let {highestFence, notBefore} = state;
+  let {highestFencedTerm: highestFencedTerm, noAttemptBefore: noAttemptBefore} =
+    state;
   for (const {state: member} of view.members) {
-    if (!member || member.fencedTerm <= highestFence) continue;
-    highestFence = member.fencedTerm;
+    if (!member || member.fencedTerm <= highestFencedTerm) continue;
+    highestFencedTerm = member.fencedTerm;
     if (member.fencedOwner !== state.owner) {
-      notBefore = Math.max(notBefore, now + TAKEOVER_DELAY_MS);
+      noAttemptBefore = Math.max(noAttemptBefore, now + TAKEOVER_DELAY_MS);
     }
   }
-  return {...state, highestFence, notBefore};
+  return {
+    ...state,
+    highestFencedTerm: highestFencedTerm,
+    noAttemptBefore: noAttemptBefore,
+  };
 }
 
 /**
@@ -350,7 +355,7 @@
       ...state,
       highestOwnTerm,
       attempt: undefined,
-      notBefore: Math.max(state.notBefore, now + pauseMs),
+      noAttemptBefore: Math.max(state.noAttemptBefore, now + pauseMs),
       awaitedClaimVersion: claimedByOther
         ? attempt.rowVersion
         : state.awaitedClaimVersion,
--- a/packages/core/src/failover/failover_limits.ts
+++ b/packages/core/src/failover/failover_limits.ts
@@ -53,4 +53,4 @@
  * every second and have applied it by then. Writes are therefore held only
  * until the running ones end, not until the configuration has spread.
  */
-export const MOVE_SETTLE_MS = 1_500;
+export const SWITCHOVER_SETTLE_MS = 1_500;
--- a/packages/core/src/failover/failover_state.ts
+++ b/packages/core/src/failover/failover_state.ts
@@ -31,9 +31,9 @@
   /** When this VM last handled an observation of the group. */
   readonly observedAt: number;
   /** No attempt starts before this time, so that another one can finish. */
-  readonly notBefore: number;
+  readonly noAttemptBefore: number;
   /** The highest term at which any member was seen fenced. */
-  readonly highestFence: number;
+  readonly highestFencedTerm: number;
   /** The highest term that an attempt of this VM has used. */
   readonly highestOwnTerm: number;
   /**
@@ -97,8 +97,8 @@
     reports: {},
     reportedAt: -Infinity,
     observedAt: -Infinity,
-    notBefore: 0,
-    highestFence: 0,
+    noAttemptBefore: 0,
+    highestFencedTerm: 0,
     highestOwnTerm: 0,
     awaitedClaimVersion: 0,
     ordered: {},
--- a/packages/core/src/failover/index.ts
+++ b/packages/core/src/failover/index.ts
@@ -10,11 +10,11 @@
   CallOutcome,
   ClaimRow,
   MemberCall,
-  Standing,
+  PrimaryEligibility,
 } from './attempt.js';
 export {decideFailover} from './decide_failover.js';
 export {FAILOVER_REPORT_KINDS} from './failover_report.js';
-export {MOVE_SETTLE_MS} from './failover_limits.js';
+export {SWITCHOVER_SETTLE_MS} from './failover_limits.js';
 export type {FailoverReport} from './failover_report.js';
 export {initialFailoverState} from './failover_state.js';
 export type {
--- a/packages/core/src/failover/planned_move.ts
+++ b/packages/core/src/failover/planned_move.ts
@@ -1,7 +1,7 @@
 import {covers} from '../session/log_position.js';
 import type {GroupView, MemberView} from '../routing/group_view.js';
 import type {AttemptMember} from './attempt.js';
-import {MOVE_SETTLE_MS} from './failover_limits.js';
+import {SWITCHOVER_SETTLE_MS} from './failover_limits.js';
 import type {ReceivedReport} from './failover_report.js';
 
 /**
@@ -33,14 +33,14 @@
       member.state !== undefined,
   );
   if (allowed.length === 0) return 'none';
-  if (waitedMs < MOVE_SETTLE_MS) return 'wait';
+  if (waitedMs < SWITCHOVER_SETTLE_MS) return 'wait';
   const primaryPosition = primary.state?.received;
   const caughtUp = allowed.some(
     ({state}) =>
       primaryPosition && state && covers(state.received, primaryPosition),
   );
   const busy = reports.some(({report}) => report.running > 0);
-  return caughtUp && (!busy || waitedMs >= MOVE_SETTLE_MS + graceMs)
+  return caughtUp && (!busy || waitedMs >= SWITCHOVER_SETTLE_MS + graceMs)
     ? 'ready'
     : 'wait';
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -10,11 +10,11 @@
 export * from './authority/authority_state.js';
 export * from './authority/confirmation.js';
 export * from './authority/decide_authority.js';
-export {probesForProof} from './authority/probes_for_proof.js';
+export {proofProbeTargets} from './authority/probes_for_proof.js';
 export {Filter} from './common/filter.js';
 export {Random} from './common/random.js';
 export {rendezvousOrder} from './common/rendezvous.js';
-export {representativesOf} from './common/representatives.js';
+export {selectRepresentatives} from './common/representatives.js';
 export {fail, ok} from './common/result.js';
 export type {Result} from './common/result.js';
 export type * from './configuration/configuration.js';
@@ -25,7 +25,7 @@
 export * from './quota/quota_limits.js';
 export type {PeerSpare} from './quota/borrow.js';
 export type {QuotaEffect, QuotaMessage} from './quota/quota_message.js';
-export {lentPpmOf, newQuotaState} from './quota/quota_state.js';
+export {maxLentPpm, newQuotaState} from './quota/quota_state.js';
 export type {QuotaState} from './quota/quota_state.js';
 export {AcknowledgementPolicy} from './routing/acknowledgement_policy.js';
 export type {RequiredProof} from './routing/acknowledgement_policy.js';
@@ -39,7 +39,7 @@
 export type * from './configuration/promotion.js';
 export {
   advancePromotion,
-  spreadOf,
+  rolloutOf,
   startPromotion,
 } from './configuration/promotion_machine.js';
 export type {
@@ -62,10 +62,10 @@
 export * from './membership/membership_state.js';
 export type * from './membership/peer_record.js';
 export {
-  MAX_CHANGES,
-  retransmissions,
+  MAX_CHANGES_PER_MESSAGE,
+  retransmissionLimit,
   shuffle,
-  takeChanges,
+  selectChanges,
 } from './membership/take_changes.js';
 export * from './routing/freshness.js';
 export * from './routing/group_view.js';
--- a/packages/core/src/leadership/__tests__/choose_successor.test.ts
+++ b/packages/core/src/leadership/__tests__/choose_successor.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {chooseSuccessor} from '../choose_successor.js';
-import type {SuccessorReport, SuccessorSituation} from '../choose_successor.js';
+import type {SuccessorReport, SuccessorInput} from '../choose_successor.js';
 
 function report(
   member: string,
@@ -19,10 +19,10 @@
   };
 }
 
-const BASE: SuccessorSituation = {
+const BASE: SuccessorInput = {
   reports: [report('b', 3, 10), report('c', 3, 12)],
   former: undefined,
-  listed: 2,
+  listedCount: 2,
   required: undefined,
   synchronousReplicas: 0,
   waitedMs: 0,
@@ -30,7 +30,7 @@
 
 const IS_PRIMARY = {role: 'primary'} as const;
 
-const CASES: ReadonlyArray<readonly [string, Partial<SuccessorSituation>]> = [
+const CASES: ReadonlyArray<readonly [string, Partial<SuccessorInput>]> = [
   ['chooses the longest log', {}],
   [
     'prefers a later term to a longer log',
--- a/packages/core/src/leadership/__tests__/primary_right.test.ts
+++ b/packages/core/src/leadership/__tests__/primary_right.test.ts
@@ -2,15 +2,15 @@
 import {Random} from '../../common/random.js';
 import type {LeadershipRecord} from '../leadership_record.js';
 import {
-  PRIMARY_RIGHT_MS,
-  mayStillHoldRight,
-  primaryRight,
+  PRIMARY_LEASE_MS,
+  mayHoldPrimaryLease,
+  decidePrimaryLease,
 } from '../primary_right.js';
-import type {RightBasis} from '../primary_right.js';
+import type {PrimaryLeaseInput} from '../primary_right.js';
 import {
   UNKNOWN_STORE_CLOCK,
-  afterClockSkip,
-  afterStoreAnswer,
+  widenStoreClock,
+  narrowStoreClock,
   earliestStoreTime,
   latestStoreTime,
 } from '../store_clock.js';
@@ -21,16 +21,18 @@
   from: 'a',
   reason: 'unreachable',
 };
-const BASIS: RightBasis = {
+const BASIS: PrimaryLeaseInput = {
   record: SETTLED,
   proof: {asOfStoreMs: 1_000},
   joined: 'joined',
 };
 
-const CASES: ReadonlyArray<readonly [string, Partial<RightBasis>, number]> = [
+const CASES: ReadonlyArray<
+  readonly [string, Partial<PrimaryLeaseInput>, number]
+> = [
   ['is granted with a recent proof', {}, 1_500],
-  ['is granted just before it expires', {}, 1_000 + PRIMARY_RIGHT_MS - 1],
-  ['is denied once it expires', {}, 1_000 + PRIMARY_RIGHT_MS],
+  ['is granted just before it expires', {}, 1_000 + PRIMARY_LEASE_MS - 1],
+  ['is denied once it expires', {}, 1_000 + PRIMARY_LEASE_MS],
   ['is denied without a proof', {proof: undefined}, 1_500],
   ['is denied to a VM that is not registered', {joined: 'not-joined'}, 1_500],
   ['is denied without a record', {record: undefined}, 1_500],
@@ -41,7 +43,7 @@
 describe('primary lease', () => {
   // Guards against the use of a primary that may already have been replaced.
   it.each(CASES)('%s', (unusedName, change, latest) => {
-    expect(primaryRight({...BASIS, ...change}, latest)).toMatchSnapshot();
+    expect(decidePrimaryLease({...BASIS, ...change}, latest)).toMatchSnapshot();
   });
 
   // Guards against a promotion while a VM that was not reached still holds a
@@ -56,11 +58,11 @@
       for (let step = 0; step < 40; step++) {
         const storeMs = revokedAt + random.integer(0, 20_000);
         const isHeld =
-          primaryRight(
+          decidePrimaryLease(
             {...BASIS, proof: {asOfStoreMs: proofAt}},
             latestStoreTime(holder.clock, holder.local(storeMs)),
           ).kind === 'granted';
-        const mayProceed = !mayStillHoldRight(
+        const mayProceed = !mayHoldPrimaryLease(
           revokedAt,
           earliestStoreTime(waiter.clock, waiter.local(storeMs)),
         );
@@ -79,7 +81,7 @@
     const storeMs = random.integer(0, 50_000);
     const sentAt = local(storeMs) - random.integer(0, 3_000);
     const receivedAt = local(storeMs) + random.integer(0, 3_000);
-    clock = afterStoreAnswer(clock, storeMs, sentAt, receivedAt);
+    clock = narrowStoreClock(clock, storeMs, sentAt, receivedAt);
   }
   return {clock, local};
 }
@@ -87,10 +89,10 @@
 describe('store clock', () => {
   // Guards against bounds that stay too narrow after the VM's clock jumped.
   it('widens its bounds after a jump and narrows them afterwards', () => {
-    const first = afterStoreAnswer(UNKNOWN_STORE_CLOCK, 1_000, 400, 410);
-    const skipped = afterClockSkip(first, 2_400);
-    const second = afterStoreAnswer(skipped, 1_100, 2_905, 2_915);
-    const contradicting = afterStoreAnswer(second, 9_000, 3_000, 3_010);
+    const first = narrowStoreClock(UNKNOWN_STORE_CLOCK, 1_000, 400, 410);
+    const skipped = widenStoreClock(first, 2_400);
+    const second = narrowStoreClock(skipped, 1_100, 2_905, 2_915);
+    const contradicting = narrowStoreClock(second, 9_000, 3_000, 3_010);
     expect({first, skipped, second, contradicting}).toMatchSnapshot();
   });
 });
--- a/packages/core/src/leadership/__tests__/suspicion.test.ts
+++ b/packages/core/src/leadership/__tests__/suspicion.test.ts
@@ -1,8 +1,8 @@
 import {describe, expect, it} from 'vitest';
-import {judgeSuspicion} from '../suspicion.js';
-import type {PrimarySighting} from '../suspicion.js';
+import {evaluateSuspicion} from '../suspicion.js';
+import type {PrimaryObservation} from '../suspicion.js';
 
-type View = PrimarySighting | 'vm-down';
+type View = PrimaryObservation | 'vm-down';
 
 function views(counts: Partial<Record<View, number>>): View[] {
   return Object.entries(counts).flatMap(([view, count]) =>
@@ -41,6 +41,6 @@
 describe('suspected primary', () => {
   // Guards against a primary change by VMs that are cut off themselves.
   it.each(CASES)('%s', (unusedName, counts) => {
-    expect(judgeSuspicion(views(counts))).toMatchSnapshot();
+    expect(evaluateSuspicion(views(counts))).toMatchSnapshot();
   });
 });
--- a/packages/core/src/leadership/__tests__/take_duty.test.ts
+++ b/packages/core/src/leadership/__tests__/take_duty.test.ts
@@ -1,5 +1,9 @@
 import {describe, expect, it} from 'vitest';
-import {DUTY_MS, decideDuty, holdsDuty} from '../take_duty.js';
+import {
+  COORDINATOR_LEASE_MS,
+  decideCoordinatorLease,
+  holdsCoordinatorLease,
+} from '../take_duty.js';
 
 const HELD = {holder: 'vm-a', fence: 7, takenAt: 1_000};
 
@@ -8,10 +12,18 @@
   // that two holders use.
   it('is granted by holder and time', () => {
     expect({
-      nobody: decideDuty('vm-a', undefined, 0),
-      own: decideDuty('vm-a', HELD, 500_000),
-      fresh: decideDuty('vm-b', HELD, 1_000 + DUTY_MS - 1),
-      lapsed: decideDuty('vm-b', HELD, 1_000 + DUTY_MS),
+      nobody: decideCoordinatorLease('vm-a', undefined, 0),
+      own: decideCoordinatorLease('vm-a', HELD, 500_000),
+      fresh: decideCoordinatorLease(
+        'vm-b',
+        HELD,
+        1_000 + COORDINATOR_LEASE_MS - 1,
+      ),
+      lapsed: decideCoordinatorLease(
+        'vm-b',
+        HELD,
+        1_000 + COORDINATOR_LEASE_MS,
+      ),
     }).toMatchSnapshot();
   });
 });
@@ -19,11 +31,11 @@
 describe('order of the coordinator', () => {
   // Guards against an order that arrives after an order of the next holder.
   it('is allowed only if it ends before the lease expires', () => {
-    const end = 1_000 + DUTY_MS;
+    const end = 1_000 + COORDINATOR_LEASE_MS;
     expect([
-      holdsDuty('vm-a', HELD, end - 1_001, 1_000),
-      holdsDuty('vm-a', HELD, end - 1_000, 1_000),
-      holdsDuty('vm-b', HELD, 1_000, 1_000),
+      holdsCoordinatorLease('vm-a', HELD, end - 1_001, 1_000),
+      holdsCoordinatorLease('vm-a', HELD, end - 1_000, 1_000),
+      holdsCoordinatorLease('vm-b', HELD, 1_000, 1_000),
     ]).toEqual([true, false, false]);
   });
 });
--- a/packages/core/src/leadership/choose_successor.ts
+++ b/packages/core/src/leadership/choose_successor.ts
@@ -19,13 +19,13 @@
 }
 
 /** The input of the choice of a successor. */
-export interface SuccessorSituation {
+export interface SuccessorInput {
   /** The reports of the members that answered, without the one replaced. */
   readonly reports: readonly SuccessorReport[];
   /** The member that is replaced, if it answered. */
   readonly former: Pick<SuccessorReport, 'role' | 'term'> | undefined;
   /** How many members the directory lists, without the one replaced. */
-  readonly listed: number;
+  readonly listedCount: number;
   /** The log position that the successor must hold, if it is determined. */
   readonly required: LogPosition | undefined;
   /** How many replicas hold every acknowledged commit besides the primary. */
@@ -54,15 +54,13 @@
  * an acknowledged commit may be on a single member besides the primary, so all
  * members must have reported.
  */
-export function chooseSuccessor(
-  situation: SuccessorSituation,
-): SuccessorChoice {
+export function chooseSuccessor(situation: SuccessorInput): SuccessorChoice {
   const {reports, required, waitedMs} = situation;
   const promoted = findPromotedMember(situation);
   if (promoted) return {kind: 'already', member: promoted.member};
   const best = [...reports].sort(comparePreference)[0];
   if (!best) return {kind: 'wait', reason: 'no-report'};
-  if (reports.length < situation.listed) {
+  if (reports.length < situation.listedCount) {
     const needsAllReports = situation.synchronousReplicas > 0;
     if (needsAllReports || waitedMs < REPORT_WAIT_MS) {
       return {kind: 'wait', reason: 'not-all-reported'};
@@ -86,7 +84,7 @@
 function findPromotedMember({
   reports,
   former,
-}: SuccessorSituation): SuccessorReport | undefined {
+}: SuccessorInput): SuccessorReport | undefined {
   const primary = reports.find(item => item.role === 'primary');
   if (!primary) return undefined;
   const terms = reports.map(item => item.term);
--- a/packages/core/src/leadership/leadership_record.ts
+++ b/packages/core/src/leadership/leadership_record.ts
@@ -1,5 +1,5 @@
 /** The reason for a primary change. */
-export type MoveReason =
+export type PrimaryChangeReason =
   /** At least half of the running VMs cannot reach the primary. */
   | 'unreachable'
   /** The primary is about to stop, or its data centre goes out of service. */
@@ -18,7 +18,7 @@
       readonly phase: 'moving';
       /** The member that is replaced. */
       readonly from: string;
-      readonly reason: MoveReason;
+      readonly reason: PrimaryChangeReason;
     };
 
 /** A record with the version of its row in the store. */
@@ -32,7 +32,7 @@
  * order promotions. The fencing number grows whenever the holder changes, so
  * that orders of an earlier coordinator can be rejected.
  */
-export interface DutyRecord {
+export interface CoordinatorLease {
   /** Name of the VM that holds the lease. */
   readonly holder: string;
   /** The fencing number. */
--- a/packages/core/src/leadership/primary_right.ts
+++ b/packages/core/src/leadership/primary_right.ts
@@ -7,7 +7,7 @@
  * ends an outage earlier if a VM and a primary fail together; a longer one
  * bridges longer outages of the store.
  */
-export const PRIMARY_RIGHT_MS = 10_000;
+export const PRIMARY_LEASE_MS = 10_000;
 
 /** Proof of how current a VM's copy of the store's rows is. */
 export interface StoreProof {
@@ -16,7 +16,7 @@
 }
 
 /** Whether a VM holds the primary lease of a group. */
-export type PrimaryRight =
+export type PrimaryLeaseDecision =
   | {readonly kind: 'granted'; readonly primary: string}
   | {
       readonly kind: 'denied';
@@ -24,7 +24,7 @@
     };
 
 /** The state that determines whether a VM holds a primary lease. */
-export interface RightBasis {
+export interface PrimaryLeaseInput {
   readonly record: LeadershipRecord | undefined;
   readonly proof: StoreProof | undefined;
   /** Whether the store's list of VMs contains this VM. */
@@ -35,13 +35,13 @@
  * Decides whether this VM may use a primary now. `latestStoreMs` is the latest
  * time that the store's clock can show now.
  */
-export function primaryRight(
-  {record, proof, joined}: RightBasis,
+export function decidePrimaryLease(
+  {record, proof, joined}: PrimaryLeaseInput,
   latestStoreMs: number,
-): PrimaryRight {
+): PrimaryLeaseDecision {
   if (!record) return {kind: 'denied', reason: 'no-record'};
   if (joined === 'not-joined') return {kind: 'denied', reason: 'not-joined'};
-  if (!proof || !(latestStoreMs < proof.asOfStoreMs + PRIMARY_RIGHT_MS)) {
+  if (!proof || !(latestStoreMs < proof.asOfStoreMs + PRIMARY_LEASE_MS)) {
     return {kind: 'denied', reason: 'proof-expired'};
   }
   if (record.phase === 'moving') return {kind: 'denied', reason: 'moving'};
@@ -53,9 +53,9 @@
  * revoked at `revokedAtStoreMs`. `earliestStoreMs` is the earliest time that
  * the store's clock can show now.
  */
-export function mayStillHoldRight(
+export function mayHoldPrimaryLease(
   revokedAtStoreMs: number,
   earliestStoreMs: number,
 ): boolean {
-  return earliestStoreMs < revokedAtStoreMs + PRIMARY_RIGHT_MS;
+  return earliestStoreMs < revokedAtStoreMs + PRIMARY_LEASE_MS;
 }
--- a/packages/core/src/leadership/store_clock.ts
+++ b/packages/core/src/leadership/store_clock.ts
@@ -15,7 +15,7 @@
 };
 
 /** Narrows the bounds with one answer of the store. */
-export function afterStoreAnswer(
+export function narrowStoreClock(
   clock: StoreClock,
   storeMs: number,
   sentAt: number,
@@ -38,7 +38,7 @@
  * Widens the bounds after this VM's clock jumped by `skippedMs`, of which an
  * unknown part was elapsed time.
  */
-export function afterClockSkip(
+export function widenStoreClock(
   clock: StoreClock,
   skippedMs: number,
 ): StoreClock {
--- a/packages/core/src/leadership/suspicion.ts
+++ b/packages/core/src/leadership/suspicion.ts
@@ -1,11 +1,11 @@
 /** One VM's observation of the primary of a database group. */
-export type PrimarySighting = 'reachable' | 'unreachable' | 'unknown';
+export type PrimaryObservation = 'reachable' | 'unreachable' | 'unknown';
 
 /** How long a primary must be unreachable before a VM asks the others. */
 export const SUSPECT_AFTER_MS = 450;
 
 /** Whether a suspected primary is replaced. */
-export type SuspicionVerdict = 'replace' | 'keep';
+export type SuspicionOutcome = 'replace' | 'keep';
 
 /**
  * Evaluates the observations of all VMs and decides whether a primary is
@@ -14,9 +14,9 @@
  * not counted. Nevertheless, one VM alone decides only if no other VM is
  * registered, because a refused connection may also come from a partition.
  */
-export function judgeSuspicion(
-  views: ReadonlyArray<PrimarySighting | 'vm-down'>,
-): SuspicionVerdict {
+export function evaluateSuspicion(
+  views: ReadonlyArray<PrimaryObservation | 'vm-down'>,
+): SuspicionOutcome {
   const runningViews = views.filter(view => view !== 'vm-down');
   const unreachableCount = runningViews.filter(
     view => view === 'unreachable',
--- a/packages/core/src/leadership/take_duty.ts
+++ b/packages/core/src/leadership/take_duty.ts
@@ -1,14 +1,14 @@
-import type {DutyRecord} from './leadership_record.js';
+import type {CoordinatorLease} from './leadership_record.js';
 
 /**
  * Duration of the coordinator lease unless the holder renews it. It exceeds the
  * time limit of an order, so that no order of a former holder is still in
  * progress when the lease changes hands.
  */
-export const DUTY_MS = 5_000;
+export const COORDINATOR_LEASE_MS = 5_000;
 
 /** Whether a VM may acquire the coordinator lease, and with which number. */
-export type DutyDecision =
+export type CoordinatorLeaseDecision =
   | {readonly kind: 'take'; readonly fence: number}
   | {readonly kind: 'leave'; readonly holder: string};
 
@@ -17,14 +17,14 @@
  * lease has expired once its duration has passed at the earliest time that the
  * store's clock can show.
  */
-export function decideDuty(
+export function decideCoordinatorLease(
   vm: string,
-  current: DutyRecord | undefined,
+  current: CoordinatorLease | undefined,
   earliestStoreMs: number,
-): DutyDecision {
+): CoordinatorLeaseDecision {
   if (!current) return {kind: 'take', fence: 1};
   if (current.holder === vm) return {kind: 'take', fence: current.fence};
-  if (earliestStoreMs >= current.takenAt + DUTY_MS) {
+  if (earliestStoreMs >= current.takenAt + COORDINATOR_LEASE_MS) {
     return {kind: 'take', fence: current.fence + 1};
   }
   return {kind: 'leave', holder: current.holder};
@@ -34,13 +34,14 @@
  * Whether a VM holds the coordinator lease for at least another `orderMs`, so
  * that an order with this time limit ends before the lease.
  */
-export function holdsDuty(
+export function holdsCoordinatorLease(
   vm: string,
-  current: DutyRecord,
+  current: CoordinatorLease,
   latestStoreMs: number,
   orderMs: number,
 ): boolean {
   return (
-    current.holder === vm && latestStoreMs + orderMs < current.takenAt + DUTY_MS
+    current.holder === vm &&
+    latestStoreMs + orderMs < current.takenAt + COORDINATOR_LEASE_MS
   );
 }
--- a/packages/core/src/membership/__tests__/decide_membership.test.ts
+++ b/packages/core/src/membership/__tests__/decide_membership.test.ts
@@ -2,10 +2,14 @@
 import {Random} from '../../common/random.js';
 import {decideMembership} from '../decide_membership.js';
 import type {MembershipEvent} from '../decide_membership.js';
-import {SUSPICION_MS, initialMembership} from '../membership_state.js';
+import {SUSPICION_TIMEOUT_MS, initialMembership} from '../membership_state.js';
 import type {MembershipState} from '../membership_state.js';
 import type {MembershipChange, PeerRecord, PeerState} from '../peer_record.js';
-import {MAX_CHANGES, retransmissions, takeChanges} from '../take_changes.js';
+import {
+  MAX_CHANGES_PER_MESSAGE,
+  retransmissionLimit,
+  selectChanges,
+} from '../take_changes.js';
 
 function peer(vm: string, instance = 'i1'): PeerRecord {
   return {vm, dataCentre: vm[0] ?? '', address: `${vm}:1`, instance};
@@ -87,7 +91,7 @@
         [0, CONTACT],
         [1, PROBE_FAILED],
         [2, NOT_REACHED],
-        [SUSPICION_MS + 1, TICK],
+        [SUSPICION_TIMEOUT_MS + 1, TICK],
       ],
     ],
     [
@@ -96,7 +100,7 @@
         [0, CONTACT],
         [1, PROBE_FAILED],
         [2, NOT_REACHED],
-        [SUSPICION_MS + 2, TICK],
+        [SUSPICION_TIMEOUT_MS + 2, TICK],
       ],
     ],
     // Guards against removing a live peer that has refuted.
@@ -106,7 +110,7 @@
         [0, CONTACT],
         [2, NOT_REACHED],
         [3, contactFrom('c1', 6)],
-        [SUSPICION_MS + 9, TICK],
+        [SUSPICION_TIMEOUT_MS + 9, TICK],
       ],
     ],
     // Guards against an old update that ends a suspicion.
@@ -199,17 +203,19 @@
     const sent = new Map<string, number>();
     const sizes = new Set<number>();
     for (let i = 0; i < 200; i++) {
-      const taken = takeChanges(state, 'c1', 'known', random);
+      const taken = selectChanges(state, 'c1', 'known', random);
       state = taken.state;
       sizes.add(taken.changes.length);
       for (const {peer: subject} of taken.changes) {
         sent.set(subject.vm, (sent.get(subject.vm) ?? 0) + 1);
       }
     }
-    expect(Math.max(...sizes)).toBe(MAX_CHANGES);
-    expect(new Set(sent.values())).toEqual(new Set([retransmissions(state)]));
-    const forNewVm = takeChanges(state, 'b7', 'new', random).changes;
-    expect(forNewVm.length).toBe(MAX_CHANGES);
+    expect(Math.max(...sizes)).toBe(MAX_CHANGES_PER_MESSAGE);
+    expect(new Set(sent.values())).toEqual(
+      new Set([retransmissionLimit(state)]),
+    );
+    const forNewVm = selectChanges(state, 'b7', 'new', random).changes;
+    expect(forNewVm.length).toBe(MAX_CHANGES_PER_MESSAGE);
   });
 
   // Guards against a suspected peer that never receives the suspicion.
@@ -222,7 +228,7 @@
       0,
     );
     state = decideMembership(state, NOT_REACHED, random, 0).state;
-    expect(takeChanges(state, 'c1', 'known', random).changes).toContainEqual(
+    expect(selectChanges(state, 'c1', 'known', random).changes).toContainEqual(
       change('c1', 'suspect', 4),
     );
   });
--- a/packages/core/src/membership/decide_membership.ts
+++ b/packages/core/src/membership/decide_membership.ts
@@ -1,12 +1,12 @@
 import type {Random} from '../common/random.js';
 import {
-  FORGET_MS,
+  EVICT_AFTER_MS,
   INDIRECT_PROBES,
-  SUSPICION_MS,
+  SUSPICION_TIMEOUT_MS,
   runningPeers,
 } from './membership_state.js';
 import type {
-  Candidate,
+  PeerCandidate,
   MembershipState,
   PeerEntry,
 } from './membership_state.js';
@@ -113,11 +113,12 @@
   const downPeer = random.pick(
     [...state.peers.values()].filter(
       entry =>
-        entry.state === 'down' && now - entry.triedAt >= DOWN_PROBE_INTERVAL_MS,
+        entry.state === 'down' &&
+        now - entry.lastFailedProbeAt >= DOWN_PROBE_INTERVAL_MS,
     ),
   );
   const probed = new Map(state.candidates);
-  for (const {peer} of candidates) probed.set(peer.vm, {peer, triedAt: now});
+  for (const {peer} of candidates) probed.set(peer.vm, {peer, probedAt: now});
   const targets = [
     ...(target ? [target.peer] : []),
     ...candidates.map(candidate => candidate.peer),
@@ -140,20 +141,20 @@
   const running = new Map(
     runningPeers(state).map(entry => [entry.peer.vm, entry]),
   );
-  let round = state.round.filter(vm => running.has(vm));
+  let round = state.probeRound.filter(vm => running.has(vm));
   if (round.length === 0) round = shuffle([...running.keys()], random);
   const [first, ...rest] = round;
   const target = first === undefined ? undefined : running.get(first);
-  return {state: {...state, round: rest}, ...(target ? {target} : {})};
+  return {state: {...state, probeRound: rest}, ...(target ? {target} : {})};
 }
 
 function selectDueCandidates(
   state: MembershipState,
   random: Random,
   now: number,
-): Candidate[] {
+): PeerCandidate[] {
   const due = [...state.candidates.values()].filter(
-    candidate => now - candidate.triedAt >= CANDIDATE_PROBE_INTERVAL_MS,
+    candidate => now - candidate.probedAt >= CANDIDATE_PROBE_INTERVAL_MS,
   );
   return shuffle(due, random).slice(0, MAX_PROBES_PER_TICK);
 }
@@ -170,7 +171,10 @@
 ): MembershipDecision {
   const entry = state.peers.get(vm);
   if (entry?.state === 'down') {
-    const peers = new Map(state.peers).set(vm, {...entry, triedAt: now});
+    const peers = new Map(state.peers).set(vm, {
+      ...entry,
+      lastFailedProbeAt: now,
+    });
     return {state: {...state, peers}, actions: []};
   }
   if (entry?.state !== 'alive') return {state, actions: []};
@@ -211,7 +215,7 @@
     incarnation,
     since,
   } of state.peers.values()) {
-    if (peerState !== 'suspect' || now - since < SUSPICION_MS) continue;
+    if (peerState !== 'suspect' || now - since < SUSPICION_TIMEOUT_MS) continue;
     result = setPeerState(result, {peer, incarnation, state: 'down'}, now);
   }
   return result;
@@ -227,7 +231,7 @@
       ([, entry]) =>
         entry.state === 'alive' ||
         entry.state === 'suspect' ||
-        now - entry.since < FORGET_MS,
+        now - entry.since < EVICT_AFTER_MS,
     ),
   );
   return peers.size === state.peers.size ? state : {...state, peers};
@@ -259,13 +263,13 @@
   state: MembershipState,
   peers: readonly PeerRecord[],
 ): MembershipState {
-  const candidates = new Map<string, Candidate>();
+  const candidates = new Map<string, PeerCandidate>();
   for (const peer of peers) {
     if (peer.vm === state.self.vm || state.peers.has(peer.vm)) continue;
     const previous = state.candidates.get(peer.vm);
     candidates.set(peer.vm, {
       peer,
-      triedAt: previous?.triedAt ?? Number.NEGATIVE_INFINITY,
+      probedAt: previous?.probedAt ?? Number.NEGATIVE_INFINITY,
     });
   }
   return {...state, candidates};
--- a/packages/core/src/membership/membership_state.ts
+++ b/packages/core/src/membership/membership_state.ts
@@ -4,7 +4,7 @@
 export const PROBE_INTERVAL_MS = 500;
 
 /** How long a suspected peer may refute before it counts as down. */
-export const SUSPICION_MS = 2_000;
+export const SUSPICION_TIMEOUT_MS = 2_000;
 
 /** How many other peers probe an unresponsive peer before it is suspected. */
 export const INDIRECT_PROBES = 2;
@@ -14,7 +14,7 @@
  * make it alive again. A VM that is only partitioned for longer is found again
  * through the platform's list.
  */
-export const FORGET_MS = 600_000;
+export const EVICT_AFTER_MS = 600_000;
 
 /** A VM's record of a peer. */
 export interface PeerEntry {
@@ -24,14 +24,14 @@
   /** When the current state was entered. */
   readonly since: number;
   /** When the last probe failed while the peer was down, initially `since`. */
-  readonly triedAt: number;
+  readonly lastFailedProbeAt: number;
 }
 
 /** A VM of the platform's list of which no update has been received yet. */
-export interface Candidate {
+export interface PeerCandidate {
   readonly peer: PeerRecord;
   /** When the candidate was last probed, -Infinity if never. */
-  readonly triedAt: number;
+  readonly probedAt: number;
 }
 
 /** A change that is still sent to other VMs. */
@@ -51,9 +51,9 @@
   /** All other VMs of which an update has been received, by name. */
   readonly peers: ReadonlyMap<string, PeerEntry>;
   /** Listed VMs that are not peers yet, by name. */
-  readonly candidates: ReadonlyMap<string, Candidate>;
+  readonly candidates: ReadonlyMap<string, PeerCandidate>;
   /** Names of the peers that are not probed yet in the current round. */
-  readonly round: readonly string[];
+  readonly probeRound: readonly string[];
   /** The changes to send, by name of the VM that they are about. */
   readonly outbox: ReadonlyMap<string, OutgoingChange>;
 }
@@ -73,7 +73,7 @@
     presence: 'present',
     peers: new Map(),
     candidates: new Map(),
-    round: [],
+    probeRound: [],
     outbox: new Map([
       [
         self.vm,
--- a/packages/core/src/membership/merge_change.ts
+++ b/packages/core/src/membership/merge_change.ts
@@ -33,7 +33,11 @@
   return {
     ...state,
     candidates,
-    peers: new Map(state.peers).set(vm, {...change, since: now, triedAt: now}),
+    peers: new Map(state.peers).set(vm, {
+      ...change,
+      since: now,
+      lastFailedProbeAt: now,
+    }),
     outbox: new Map(state.outbox).set(vm, {change, timesSent: 0}),
   };
 }
--- a/packages/core/src/membership/peer_record.ts
+++ b/packages/core/src/membership/peer_record.ts
@@ -20,7 +20,7 @@
 }
 
 /** Versions of the store's rows that all VMs must agree on. */
-export interface Versions {
+export interface RowVersions {
   readonly configuration: number;
   readonly ledger: number;
 }
@@ -28,9 +28,9 @@
 /** The versions that a VM reports with each probe. */
 export interface VersionReport {
   /** The highest versions that the VM has received. */
-  readonly known: Versions;
+  readonly known: RowVersions;
   /** The versions in force on the VM; reporting them acknowledges them. */
-  readonly applied: Versions;
+  readonly applied: RowVersions;
   /**
    * Age in milliseconds of the VM's proof that the known versions were current,
    * or null if it has none.
--- a/packages/core/src/membership/take_changes.ts
+++ b/packages/core/src/membership/take_changes.ts
@@ -4,7 +4,7 @@
 import type {MembershipChange} from './peer_record.js';
 
 /** Maximum number of changes in one message. */
-export const MAX_CHANGES = 32;
+export const MAX_CHANGES_PER_MESSAGE = 32;
 
 /**
  * A change is sent this many times the binary logarithm of the fleet's size, so
@@ -26,7 +26,7 @@
  * always receives its own state, so that it can refute it. A new VM also gets a
  * sample of the view, because older changes are no longer sent.
  */
-export function takeChanges(
+export function selectChanges(
   state: MembershipState,
   recipient: string,
   recipientStatus: RecipientStatus,
@@ -40,7 +40,7 @@
   const queued = [...state.outbox.values()]
     .filter(item => item.change.peer.vm !== recipient)
     .sort((a, b) => a.timesSent - b.timesSent)
-    .slice(0, MAX_CHANGES - changes.length);
+    .slice(0, MAX_CHANGES_PER_MESSAGE - changes.length);
   changes.push(...queued.map(item => item.change));
   if (recipientStatus === 'new') {
     changes.push(...sampleView(state, changes, recipient, random));
@@ -52,7 +52,7 @@
 }
 
 /** Returns how many times a change is sent in a fleet of the current size. */
-export function retransmissions(state: MembershipState): number {
+export function retransmissionLimit(state: MembershipState): number {
   return RETRANSMIT_FACTOR * Math.ceil(Math.log2(state.peers.size + 2));
 }
 
@@ -61,7 +61,7 @@
   state: MembershipState,
   sent: readonly OutgoingChange[],
 ): ReadonlyMap<string, OutgoingChange> {
-  const limit = retransmissions(state);
+  const limit = retransmissionLimit(state);
   const outbox = new Map(state.outbox);
   for (const {change, timesSent} of sent) {
     const {vm} = change.peer;
@@ -84,7 +84,7 @@
   const names = new Set([recipient, ...taken.map(item => item.peer.vm)]);
   const rest = runningPeers(state).filter(entry => !names.has(entry.peer.vm));
   return shuffle(rest, random)
-    .slice(0, MAX_CHANGES - taken.length)
+    .slice(0, MAX_CHANGES_PER_MESSAGE - taken.length)
     .map(toChange);
 }
 
--- a/packages/core/src/quota/__tests__/fault_schedule.ts
+++ b/packages/core/src/quota/__tests__/fault_schedule.ts
@@ -1,6 +1,6 @@
 import {Random} from '../../common/random.js';
 import {decideQuota} from '../decide_quota.js';
-import {WHOLE_PPM} from '../quota_limits.js';
+import {FULL_SHARE_PPM} from '../quota_limits.js';
 import type {QuotaEffect, QuotaMessage} from '../quota_message.js';
 import {newQuotaState} from '../quota_state.js';
 import type {QuotaState} from '../quota_state.js';
@@ -97,7 +97,7 @@
             kind: 'admit',
             workspace: WORKSPACE,
             ticket,
-            until,
+            deadline: until,
           });
         }
         break;
@@ -123,7 +123,7 @@
       case 'unconfirmed':
         this.decide(step.vm, {
           kind: 'share',
-          sharePpm: WHOLE_PPM / VM_COUNT,
+          sharePpm: FULL_SHARE_PPM / VM_COUNT,
           confirmedUntil: this.clockOf(step.vm) + step.amount * 100,
         });
         break;
@@ -146,7 +146,7 @@
     const limits = new Map([
       [WORKSPACE, {rate: RATE_PER_SECOND, burst: BURST_TOKENS}],
     ]);
-    const sharePpm = WHOLE_PPM / VM_COUNT;
+    const sharePpm = FULL_SHARE_PPM / VM_COUNT;
     this.decide(vm, {kind: 'limits', limits});
     this.decide(vm, {kind: 'share', sharePpm, confirmedUntil: Infinity});
     this.decide(vm, {
@@ -252,7 +252,7 @@
     if (tokens > BURST_TOKENS + 1e-6) {
       this.broken.push(`${tokens} tokens at ${this.now}`);
     }
-    if (ratePpm > WHOLE_PPM) {
+    if (ratePpm > FULL_SHARE_PPM) {
       this.broken.push(`${ratePpm} ppm of the rate at ${this.now}`);
     }
     this.checkWindows();
--- a/packages/core/src/quota/__tests__/ledger.test.ts
+++ b/packages/core/src/quota/__tests__/ledger.test.ts
@@ -3,7 +3,7 @@
   EMPTY_LEDGER,
   balanceShare,
   finishReclaim,
-  intendReclaim,
+  startReclaim,
   joinLedger,
   leaveLedger,
   ledgerMembers,
@@ -42,7 +42,7 @@
   it('reclaims a share after majority acknowledgement and a wait', () => {
     let ledger = EMPTY_LEDGER;
     for (const name of ['a', 'b', 'c']) ledger = joinLedger(ledger, vm(name));
-    const intended = intendReclaim(ledger, 'a');
+    const intended = startReclaim(ledger, 'a');
     const members = ledgerMembers(intended, 7);
     const start = {instance: 'a', members, majorityAt: undefined};
     const observe = (applied: Record<string, number>) =>
--- a/packages/core/src/quota/__tests__/loan_cases.test.ts
+++ b/packages/core/src/quota/__tests__/loan_cases.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {Random} from '../../common/random.js';
 import {decideQuota} from '../decide_quota.js';
-import {changeLimits, limitsAt} from '../limit_history.js';
+import {changeLimits, effectiveLimitsAt} from '../limit_history.js';
 import type {LoanRequest} from '../loan.js';
 import type {QuotaEffect, QuotaMessage} from '../quota_message.js';
 import {newQuotaState} from '../quota_state.js';
@@ -85,7 +85,7 @@
     const vm = new Vm('v', 0);
     vm.decide({kind: 'peers', peers: ['l']}, 0);
     const admit = {kind: 'admit', workspace: 'w', ticket: 1} as const;
-    const [asked] = vm.decide({...admit, until: 200}, 0);
+    const [asked] = vm.decide({...admit, deadline: 200}, 0);
     if (asked?.kind !== 'request-loan') throw new Error('no request');
     vm.decide(
       {
@@ -130,9 +130,9 @@
     const lowered = changeLimits(first, lower, 1_000);
     const raised = changeLimits(lowered, LIMITS, 10_000);
     expect({
-      lowered: limitsAt(lowered, 1_000),
-      beforeLimit: limitsAt(raised, 15_999),
-      afterLimit: limitsAt(raised, 16_000),
+      lowered: effectiveLimitsAt(lowered, 1_000),
+      beforeLimit: effectiveLimitsAt(raised, 15_999),
+      afterLimit: effectiveLimitsAt(raised, 16_000),
     }).toMatchSnapshot();
   });
 });
--- a/packages/core/src/quota/borrow.ts
+++ b/packages/core/src/quota/borrow.ts
@@ -1,19 +1,19 @@
 import type {Random} from '../common/random.js';
-import {provenDemandAt} from './demand_estimate.js';
-import {limitsAt} from './limit_history.js';
-import {SMALLEST_TOKEN_LOAN, neededPpm} from './lend.js';
+import {significantDemandAt} from './demand_estimate.js';
+import {effectiveLimitsAt} from './limit_history.js';
+import {MIN_LOAN_TOKENS, neededRatePpm} from './lend.js';
 import type {
   BorrowedLoan,
   LoanGrant,
   LoanRequest,
   PendingLoan,
 } from './loan.js';
-import {TOKEN_LOAN_MS, WHOLE_PPM} from './quota_limits.js';
-import {accrue, capped, ratePpmOf} from './token_account.js';
+import {MAX_TOKEN_LOAN_MS, FULL_SHARE_PPM} from './quota_limits.js';
+import {accrue, capTokens, ratePpmOf} from './token_account.js';
 import type {TokenAccount} from './token_account.js';
 
 /** A loan request is dropped if no answer arrives within this time. */
-const ANSWER_TIMEOUT_MS = TOKEN_LOAN_MS;
+const ANSWER_TIMEOUT_MS = MAX_TOKEN_LOAN_MS;
 
 /** Pending requests per kind. With more, the grants could exceed the need. */
 const MAX_PARALLEL_REQUESTS = 4;
@@ -52,9 +52,9 @@
   /** The incarnations of the reachable peers. */
   readonly peers: readonly string[];
   /** What peers last reported that they can lend, by incarnation. */
-  readonly spare: ReadonlyMap<string, PeerSpare>;
+  readonly peerSpare: ReadonlyMap<string, PeerSpare>;
   /** The number of statements that wait for a token. */
-  readonly waiting: number;
+  readonly waitingCount: number;
   /** Returns a request id that this incarnation has not used. */
   readonly nextId: () => string;
   readonly random: Random;
@@ -105,7 +105,7 @@
     expiresAt,
     renewal: 'possible',
   };
-  return capped({
+  return capTokens({
     ...answered,
     tokens: answered.tokens + grant.tokens,
     borrowed: [...answered.borrowed, loan],
@@ -155,7 +155,7 @@
   context: BorrowContext,
   now: number,
 ): PendingLoan[] {
-  const neededSharePpm = neededPpm(state, now);
+  const neededSharePpm = neededRatePpm(state, now);
   let heldPpm = ratePpmOf(state);
   const due = state.borrowed.filter(
     loan =>
@@ -184,21 +184,21 @@
 ): PendingLoan[] {
   // Only a VM that is short of tokens borrows share, so that random peaks of
   // demand cause no share loans.
-  const {rate, burst} = limitsAt(state.limits, now);
-  if (context.waiting === 0 && state.tokens >= Math.min(2, burst / 4)) {
+  const {rate, burst} = effectiveLimitsAt(state.limits, now);
+  if (context.waitingCount === 0 && state.tokens >= Math.min(2, burst / 4)) {
     return [];
   }
-  const heldPerSecond = (ratePpmOf(state) / WHOLE_PPM) * rate;
-  if (provenDemandAt(state.demand, now) <= heldPerSecond) return [];
+  const heldPerSecond = (ratePpmOf(state) / FULL_SHARE_PPM) * rate;
+  if (significantDemandAt(state.demand, now) <= heldPerSecond) return [];
   const pending = state.pending.filter(item => item.request.kind === 'share');
   const expectedPpm = pending.reduce(
     (sum, item) => sum + item.request.ratePpm,
     0,
   );
-  const missingPpm = neededPpm(state, now) - ratePpmOf(state) - expectedPpm;
+  const missingPpm = neededRatePpm(state, now) - ratePpmOf(state) - expectedPpm;
   const slots = MAX_PARALLEL_REQUESTS - pending.length;
   const minRequestPpm = Math.floor(
-    (WHOLE_PPM / (context.peers.length + 1)) * MIN_SHARE_REQUEST_FRACTION,
+    (FULL_SHARE_PPM / (context.peers.length + 1)) * MIN_SHARE_REQUEST_FRACTION,
   );
   if (missingPpm < minRequestPpm || slots <= 0) return [];
   const lenders = candidates(state, context, 'share', now).slice(0, slots);
@@ -223,10 +223,10 @@
     (sum, item) => sum + item.request.tokens,
     0,
   );
-  let missingTokens = context.waiting - state.tokens - requestedTokens;
+  let missingTokens = context.waitingCount - state.tokens - requestedTokens;
   let slots = MAX_PARALLEL_REQUESTS - pending.length;
   const sent: PendingLoan[] = [];
-  if (context.waiting === 0) return sent;
+  if (context.waitingCount === 0) return sent;
   for (const item of candidates(state, context, 'tokens', now)) {
     if (slots-- <= 0 || missingTokens < MIN_MISSING_TOKENS) break;
     // Tokens that are not spent would be lost at the end of the loan.
@@ -249,10 +249,10 @@
       .filter(item => item.request.kind === kind)
       .map(item => item.lender),
   );
-  const {rate, burst} = limitsAt(state.limits, now);
+  const {rate, burst} = effectiveLimitsAt(state.limits, now);
   const count = context.peers.length + 1;
   const declined = (peer: string): boolean => {
-    const since = context.spare.get(peer)?.declinedShareAt ?? -Infinity;
+    const since = context.peerSpare.get(peer)?.declinedShareAt ?? -Infinity;
     return kind === 'share' && now - since < SHARE_RETRY_MS;
   };
   return (
@@ -262,7 +262,7 @@
         peer,
         // A peer without a recent answer is assumed to be full.
         expected: expectedSpare(
-          context.spare.get(peer),
+          context.peerSpare.get(peer),
           now,
           rate,
           burst,
@@ -271,7 +271,7 @@
         order: context.random.fraction(),
       }))
       // A peer that was recently empty is skipped until it has refilled.
-      .filter(item => kind === 'share' || item.expected >= SMALLEST_TOKEN_LOAN)
+      .filter(item => kind === 'share' || item.expected >= MIN_LOAN_TOKENS)
       .sort((a, b) => b.expected - a.expected || a.order - b.order)
   );
 }
@@ -284,7 +284,7 @@
   burst: number,
   vmCount: number,
 ): number {
-  const fullSpare = Math.max(SMALLEST_TOKEN_LOAN, burst / vmCount);
+  const fullSpare = Math.max(MIN_LOAN_TOKENS, burst / vmCount);
   if (!spare || now - spare.at > SPARE_VALIDITY_MS) return fullSpare;
   const refilled = ((now - spare.at) / 1_000) * (rate / vmCount);
   return Math.min(fullSpare, spare.tokens + refilled);
--- a/packages/core/src/quota/decide_quota.ts
+++ b/packages/core/src/quota/decide_quota.ts
@@ -1,13 +1,13 @@
 import type {Random} from '../common/random.js';
 import {abandonRequest, acceptGrant, planRequests} from './borrow.js';
 import {afterArrival} from './demand_estimate.js';
-import {lend} from './lend.js';
+import {decideLoan} from './lend.js';
 import {changeLimits} from './limit_history.js';
 import type {LoanRequest} from './loan.js';
 import type {QuotaLimits} from './quota_limits.js';
 import type {QuotaEffect, QuotaMessage} from './quota_message.js';
 import type {QuotaState, WorkspaceQuota} from './quota_state.js';
-import {accrue, capped, emptyAccount} from './token_account.js';
+import {accrue, capTokens, emptyAccount} from './token_account.js';
 
 /** The state after a message, and the effects to carry out. */
 export interface QuotaDecision {
@@ -60,13 +60,13 @@
   now: number,
 ): QuotaDecision {
   const quota = state.workspaces.get(message.workspace);
-  const {ticket, until} = message;
+  const {ticket, deadline: until} = message;
   if (!quota) return {state, effects: [{kind: 'refused', ticket}]};
   const {account} = quota;
   const queued = withQuota(state, message.workspace, {
     ...quota,
     account: {...account, demand: afterArrival(account.demand, now)},
-    waiters: [...quota.waiters, {ticket, until}],
+    waiters: [...quota.waiters, {ticket, deadline: until}],
   });
   return admitWaiters(queued, message.workspace, random, now);
 }
@@ -87,7 +87,7 @@
   const count = Math.min(Math.floor(account.tokens), quota.waiters.length);
   const admitted = quota.waiters.slice(0, count);
   const remaining = quota.waiters.slice(count);
-  const waiters = remaining.filter(waiter => waiter.until > now);
+  const waiters = remaining.filter(waiter => waiter.deadline > now);
   let {requestCount} = state;
   const plan = planRequests(
     {...account, tokens: account.tokens - count},
@@ -95,8 +95,8 @@
       self: state.self,
       workspace,
       peers: state.peers,
-      spare: quota.spare,
-      waiting: waiters.length,
+      peerSpare: quota.peerSpare,
+      waitingCount: waiters.length,
       nextId: () => `${state.self}/${++requestCount}`,
       random,
     },
@@ -112,7 +112,7 @@
     effects: [
       ...admitted.map(({ticket}) => ({kind: 'admitted', ticket}) as const),
       ...remaining
-        .filter(waiter => waiter.until <= now)
+        .filter(waiter => waiter.deadline <= now)
         .map(({ticket}) => ({kind: 'refused', ticket}) as const),
       ...plan.sent.map(
         ({lender, request}) =>
@@ -147,7 +147,7 @@
       ],
     };
   }
-  const {account, grant} = lend(
+  const {account, grant} = decideLoan(
     quota.account,
     request,
     quota.waiters.length,
@@ -177,14 +177,18 @@
   const declinedShare =
     pendingRequest?.request.kind === 'share' && !(grant && grant.ratePpm > 0);
   // A peer that did not answer counts as empty, which delays the next request.
-  const spare = new Map(quota.spare).set(lender, {
+  const spare = new Map(quota.peerSpare).set(lender, {
     tokens: grant?.spareTokens ?? 0,
     at: now,
     declinedShareAt: declinedShare
       ? now
-      : (quota.spare.get(lender)?.declinedShareAt ?? -Infinity),
+      : (quota.peerSpare.get(lender)?.declinedShareAt ?? -Infinity),
+  });
+  const next = withQuota(state, workspace, {
+    ...quota,
+    account,
+    peerSpare: spare,
   });
-  const next = withQuota(state, workspace, {...quota, account, spare});
   return admitWaiters(next, workspace, random, now);
 }
 
@@ -200,7 +204,7 @@
     const account = accrue(quota.account, now);
     next.set(workspace, {
       ...quota,
-      account: capped({
+      account: capTokens({
         ...account,
         limits: changeLimits(account.limits, changed, now),
       }),
@@ -213,7 +217,7 @@
     next.set(workspace, {
       account: {...emptyAccount(history, now), sharePpm, confirmedUntil},
       waiters: [],
-      spare: new Map(),
+      peerSpare: new Map(),
     });
   }
   return {...state, workspaces: next};
@@ -230,7 +234,7 @@
       const account = accrue(quota.account, now);
       return [
         workspace,
-        {...quota, account: capped({...account, sharePpm, confirmedUntil})},
+        {...quota, account: capTokens({...account, sharePpm, confirmedUntil})},
       ];
     }),
   );
--- a/packages/core/src/quota/demand_estimate.ts
+++ b/packages/core/src/quota/demand_estimate.ts
@@ -35,7 +35,10 @@
  * time constant, the estimate fluctuates by more than its own size; two standard
  * deviations are then subtracted.
  */
-export function provenDemandAt(estimate: DemandEstimate, now: number): number {
+export function significantDemandAt(
+  estimate: DemandEstimate,
+  now: number,
+): number {
   const perSecond = demandAt(estimate, now);
   const seconds = DEMAND_TIME_CONSTANT_MS / 1_000;
   if (perSecond * seconds >= MIN_SIGNIFICANT_ARRIVALS) return perSecond;
--- a/packages/core/src/quota/ledger.ts
+++ b/packages/core/src/quota/ledger.ts
@@ -2,7 +2,7 @@
 import type {LedgerMembers} from '../authority/authority_state.js';
 import type {PeerRecord} from '../membership/peer_record.js';
 import {majorityOf} from '../routing/group_view.js';
-import {WHOLE_PPM} from './quota_limits.js';
+import {FULL_SHARE_PPM} from './quota_limits.js';
 
 /** Whether an entry's share is usable or is being reclaimed. */
 export type LedgerEntryState = 'active' | 'reclaiming';
@@ -37,7 +37,7 @@
 /** Returns the share that no entry holds. */
 export function freePpm(ledger: Ledger): number {
   const held = ledger.entries.reduce((sum, entry) => sum + entry.sharePpm, 0);
-  return Math.max(0, WHOLE_PPM - held);
+  return Math.max(0, FULL_SHARE_PPM - held);
 }
 
 /** Returns the share of an incarnation, or 0 while it is being reclaimed. */
@@ -98,7 +98,7 @@
 }
 
 /** Records the intent to reclaim the share of a VM that is down. */
-export function intendReclaim(ledger: Ledger, instance: string): Ledger {
+export function startReclaim(ledger: Ledger, instance: string): Ledger {
   const entry = entryOf(ledger, instance);
   if (!entry || entry.state === 'reclaiming') return ledger;
   return replaceEntry(ledger, {...entry, state: 'reclaiming'});
@@ -185,7 +185,7 @@
 
 /** Returns an even share. A remainder of less than 1 ppm per VM stays unused. */
 function evenPpm(count: number): number {
-  return Math.floor(WHOLE_PPM / Math.max(1, count));
+  return Math.floor(FULL_SHARE_PPM / Math.max(1, count));
 }
 
 function replaceEntry(ledger: Ledger, entry: LedgerEntry): Ledger {
--- a/packages/core/src/quota/lend.ts
+++ b/packages/core/src/quota/lend.ts
@@ -1,19 +1,19 @@
 import {demandAt} from './demand_estimate.js';
-import {limitsAt} from './limit_history.js';
+import {effectiveLimitsAt} from './limit_history.js';
 import type {LentLoan, LoanGrant, LoanRequest} from './loan.js';
 import {
-  LENDER_MARGIN,
-  SHARE_LOAN_MS,
-  TOKEN_LOAN_MS,
-  WHOLE_PPM,
+  LENDER_DURATION_FACTOR,
+  MAX_SHARE_LOAN_MS,
+  MAX_TOKEN_LOAN_MS,
+  FULL_SHARE_PPM,
 } from './quota_limits.js';
 import {
   accrue,
   burstPpmOf,
-  capped,
+  capTokens,
   lentBurstPpm,
   lentRatePpm,
-  ownPpm,
+  confirmedSharePpm,
   ratePpmOf,
 } from './token_account.js';
 import type {TokenAccount} from './token_account.js';
@@ -22,7 +22,7 @@
 const UNLENDABLE_BURST_FRACTION = 0.1;
 
 /** Share needed per unit of estimated demand, since arrivals are irregular. */
-export const DEMAND_HEADROOM = 1.15;
+export const DEMAND_HEADROOM_FACTOR = 1.15;
 
 /** A lender keeps the tokens that its own demand needs within this time. */
 const DEMAND_RESERVE_MS = 100;
@@ -37,13 +37,13 @@
  * The smallest token loan. Fewer tokens are not worth the messages unless the
  * borrower needs no more than that.
  */
-export const SMALLEST_TOKEN_LOAN = 0.2;
+export const MIN_LOAN_TOKENS = 0.2;
 
 /**
  * Decides on a loan request. The returned account is already reduced by the
  * loan and must be in effect before the grant is sent.
  */
-export function lend(
+export function decideLoan(
   account: TokenAccount,
   request: LoanRequest,
   waiting: number,
@@ -66,7 +66,7 @@
           ? shareLoan(state, request, now)
           : renewedLoan(state, request, waiting, now);
   if (!loan) return {account: state, grant: declinedGrant(state, request, now)};
-  const lowered = capped({
+  const lowered = capTokens({
     ...state,
     tokens: state.tokens - loan.grant.tokens,
     lent: [
@@ -92,11 +92,11 @@
 }
 
 /** Returns the share of the rate that this VM's own demand needs. */
-export function neededPpm(account: TokenAccount, now: number): number {
-  const {rate} = limitsAt(account.limits, now);
+export function neededRatePpm(account: TokenAccount, now: number): number {
+  const {rate} = effectiveLimitsAt(account.limits, now);
   if (rate <= 0) return 0;
-  const demand = demandAt(account.demand, now) * DEMAND_HEADROOM;
-  return Math.min(WHOLE_PPM, Math.ceil((demand / rate) * WHOLE_PPM));
+  const demand = demandAt(account.demand, now) * DEMAND_HEADROOM_FACTOR;
+  return Math.min(FULL_SHARE_PPM, Math.ceil((demand / rate) * FULL_SHARE_PPM));
 }
 
 function tokenLoan(
@@ -104,9 +104,9 @@
   request: LoanRequest,
   now: number,
 ): LentLoan | undefined {
-  const durationMs = Math.min(TOKEN_LOAN_MS, state.confirmedUntil - now);
-  const releaseAt = now + durationMs * LENDER_MARGIN;
-  const {burst} = limitsAt(state.limits, now);
+  const durationMs = Math.min(MAX_TOKEN_LOAN_MS, state.confirmedUntil - now);
+  const releaseAt = now + durationMs * LENDER_DURATION_FACTOR;
+  const {burst} = effectiveLimitsAt(state.limits, now);
   // Burst borrowed through a loan that ends before this one cannot be lent.
   const lastingBurstPpm = burstPpmOf({
     ...state,
@@ -115,9 +115,9 @@
   const tokens = Math.min(
     request.tokens,
     spareTokensOf(state, now),
-    (lastingBurstPpm / WHOLE_PPM) * burst,
+    (lastingBurstPpm / FULL_SHARE_PPM) * burst,
   );
-  const minTokens = Math.min(request.tokens, SMALLEST_TOKEN_LOAN);
+  const minTokens = Math.min(request.tokens, MIN_LOAN_TOKENS);
   if (!(tokens >= minTokens) || !(durationMs > 0)) return undefined;
   return {
     kind: 'tokens',
@@ -129,7 +129,7 @@
       ratePpm: 0,
       burstPpm: Math.min(
         lastingBurstPpm,
-        Math.ceil((tokens / burst) * WHOLE_PPM),
+        Math.ceil((tokens / burst) * FULL_SHARE_PPM),
       ),
       tokens,
       durationMs,
@@ -144,12 +144,12 @@
   now: number,
 ): LentLoan | undefined {
   const durationMs = shareLoanMs(state, now);
-  const ownSharePpm = ownPpm(state);
+  const ownSharePpm = confirmedSharePpm(state);
   const ratePpm = Math.floor(
     Math.min(
       request.ratePpm,
       ownSharePpm - lentRatePpm(state),
-      ratePpmOf(state) - neededPpm(state, now),
+      ratePpmOf(state) - neededRatePpm(state, now),
     ),
   );
   if (
@@ -163,13 +163,13 @@
     lentBurstPpm(state) -
     Math.ceil(ownSharePpm * UNLENDABLE_BURST_FRACTION);
   const burstPpm = Math.max(0, Math.min(ratePpm, lendableBurstPpm));
-  const {burst} = limitsAt(state.limits, now);
+  const {burst} = effectiveLimitsAt(state.limits, now);
   const heldBurstPpm = burstPpmOf(state);
   const lentFraction = heldBurstPpm > 0 ? burstPpm / heldBurstPpm : 0;
   return {
     kind: 'share',
     borrower: request.borrower,
-    releaseAt: now + durationMs * LENDER_MARGIN,
+    releaseAt: now + durationMs * LENDER_DURATION_FACTOR,
     grant: {
       requestId: request.requestId,
       loanId: request.requestId,
@@ -177,7 +177,7 @@
       burstPpm,
       tokens: Math.min(
         state.tokens * lentFraction,
-        (burstPpm / WHOLE_PPM) * burst,
+        (burstPpm / FULL_SHARE_PPM) * burst,
       ),
       durationMs,
       spareTokens: 0,
@@ -203,10 +203,13 @@
   );
   const durationMs = shareLoanMs(state, now);
   if (!loan || waiting > 0 || !(durationMs > 0)) return undefined;
-  if (ratePpmOf(state) < neededPpm(state, now)) return undefined;
+  if (ratePpmOf(state) < neededRatePpm(state, now)) return undefined;
   return {
     ...loan,
-    releaseAt: Math.max(loan.releaseAt, now + durationMs * LENDER_MARGIN),
+    releaseAt: Math.max(
+      loan.releaseAt,
+      now + durationMs * LENDER_DURATION_FACTOR,
+    ),
     grant: {
       ...loan.grant,
       requestId: request.requestId,
@@ -222,7 +225,7 @@
  * reclaimed from the lender.
  */
 function shareLoanMs(state: TokenAccount, now: number): number {
-  return Math.min(SHARE_LOAN_MS, state.confirmedUntil - now);
+  return Math.min(MAX_SHARE_LOAN_MS, state.confirmedUntil - now);
 }
 
 /** Returns the answer that lends nothing and reports the spare tokens. */
--- a/packages/core/src/quota/limit_history.ts
+++ b/packages/core/src/quota/limit_history.ts
@@ -1,4 +1,4 @@
-import {CONFIRM_LIMIT_MS} from '../authority/authority_state.js';
+import {PROOF_VALIDITY_MS} from '../authority/authority_state.js';
 import type {QuotaLimits} from './quota_limits.js';
 
 /**
@@ -37,7 +37,10 @@
  * Returns the effective limits. Lowered limits take effect at once, raised ones
  * when no other VM can still enforce the limits that they replaced.
  */
-export function limitsAt(history: LimitHistory, now: number): QuotaLimits {
+export function effectiveLimitsAt(
+  history: LimitHistory,
+  now: number,
+): QuotaLimits {
   const recent = history.replaced
     .filter(item => isRecent(item.replacedAt, now))
     .map(item => item.limits);
@@ -48,5 +51,5 @@
 }
 
 function isRecent(replacedAt: number, now: number): boolean {
-  return now - replacedAt < CONFIRM_LIMIT_MS;
+  return now - replacedAt < PROOF_VALIDITY_MS;
 }
--- a/packages/core/src/quota/quota_message.ts
+++ b/packages/core/src/quota/quota_message.ts
@@ -10,7 +10,7 @@
       /** Identifies the statement in the effects that answer it. */
       readonly ticket: number;
       /** The time at which the statement is refused without a token. */
-      readonly until: number;
+      readonly deadline: number;
     }
   /** A peer requests a loan. */
   | {readonly kind: 'loan-requested'; readonly request: LoanRequest}
--- a/packages/core/src/quota/quota_state.ts
+++ b/packages/core/src/quota/quota_state.ts
@@ -7,7 +7,7 @@
   /** Identifies the statement in the effects that answer it. */
   readonly ticket: number;
   /** The time at which the statement is refused without a token. */
-  readonly until: number;
+  readonly deadline: number;
 }
 
 /** The quota of one workspace on one VM. */
@@ -16,7 +16,7 @@
   /** Statements that wait for a token, in the order of arrival. */
   readonly waiters: readonly QuotaWaiter[];
   /** What peers last reported that they can lend, by incarnation. */
-  readonly spare: ReadonlyMap<string, PeerSpare>;
+  readonly peerSpare: ReadonlyMap<string, PeerSpare>;
 }
 
 /** The quota of all workspaces on one VM. */
@@ -47,7 +47,7 @@
 }
 
 /** Returns the largest share, over all workspaces, that is lent out. */
-export function lentPpmOf(state: QuotaState, now: number): number {
+export function maxLentPpm(state: QuotaState, now: number): number {
   const lent = [...state.workspaces.values()].map(quota => {
     const account = accrue(quota.account, now);
     return Math.max(lentRatePpm(account), lentBurstPpm(account));
--- a/packages/core/src/quota/token_account.ts
+++ b/packages/core/src/quota/token_account.ts
@@ -1,9 +1,9 @@
-import {CONFIRM_LIMIT_MS} from '../authority/authority_state.js';
+import {PROOF_VALIDITY_MS} from '../authority/authority_state.js';
 import type {DemandEstimate} from './demand_estimate.js';
-import {limitsAt} from './limit_history.js';
+import {effectiveLimitsAt} from './limit_history.js';
 import type {LimitHistory} from './limit_history.js';
 import type {BorrowedLoan, LentLoan, PendingLoan} from './loan.js';
-import {WHOLE_PPM} from './quota_limits.js';
+import {FULL_SHARE_PPM} from './quota_limits.js';
 
 /**
  * One VM's tokens for one workspace, with the loans that raise or lower its
@@ -44,7 +44,7 @@
 export function ratePpmOf(account: TokenAccount): number {
   return Math.max(
     0,
-    ownPpm(account) -
+    confirmedSharePpm(account) -
       lentRatePpm(account) +
       sumBorrowed(account.borrowed, 'ratePpm'),
   );
@@ -54,14 +54,14 @@
 export function burstPpmOf(account: TokenAccount): number {
   return Math.max(
     0,
-    ownPpm(account) -
+    confirmedSharePpm(account) -
       lentBurstPpm(account) +
       sumBorrowed(account.borrowed, 'burstPpm'),
   );
 }
 
 /** Returns the ledger share, or 0 while the VM is unconfirmed. */
-export function ownPpm(account: TokenAccount): number {
+export function confirmedSharePpm(account: TokenAccount): number {
   return account.at < account.confirmedUntil ? account.sharePpm : 0;
 }
 
@@ -83,12 +83,12 @@
   let state = account;
   while (state.at < now) {
     const until = nextChangeAt(state, now);
-    const {rate} = limitsAt(state.limits, state.at);
+    const {rate} = effectiveLimitsAt(state.limits, state.at);
     const seconds = (until - state.at) / 1_000;
-    const gained = (ratePpmOf(state) / WHOLE_PPM) * rate * seconds;
+    const gained = (ratePpmOf(state) / FULL_SHARE_PPM) * rate * seconds;
     // Tokens accrued before a change are bounded by the capacity before it.
-    state = capped({...state, tokens: state.tokens + gained});
-    state = capped({
+    state = capTokens({...state, tokens: state.tokens + gained});
+    state = capTokens({
       ...state,
       at: until,
       lent: state.lent.filter(loan => loan.releaseAt > until),
@@ -99,9 +99,9 @@
 }
 
 /** Discards tokens above the account's present capacity. */
-export function capped(account: TokenAccount): TokenAccount {
-  const {burst} = limitsAt(account.limits, account.at);
-  const capacity = (burstPpmOf(account) / WHOLE_PPM) * burst;
+export function capTokens(account: TokenAccount): TokenAccount {
+  const {burst} = effectiveLimitsAt(account.limits, account.at);
+  const capacity = (burstPpmOf(account) / FULL_SHARE_PPM) * burst;
   if (account.tokens <= capacity) return account;
   return {...account, tokens: capacity};
 }
@@ -116,7 +116,7 @@
   for (const loan of account.lent) consider(loan.releaseAt);
   for (const loan of account.borrowed) consider(loan.expiresAt);
   for (const item of account.limits.replaced) {
-    consider(item.replacedAt + CONFIRM_LIMIT_MS);
+    consider(item.replacedAt + PROOF_VALIDITY_MS);
   }
   return next;
 }
--- a/packages/core/src/quota/transfer/__tests__/share_table.test.ts
+++ b/packages/core/src/quota/transfer/__tests__/share_table.test.ts
@@ -1,9 +1,9 @@
 import {describe, expect, it} from 'vitest';
 import {Random} from '../../../common/random.js';
-import {WHOLE_PPM} from '../../quota_limits.js';
+import {FULL_SHARE_PPM} from '../../quota_limits.js';
 import {initialShares, isRevoked, nextShares} from '../share_table.js';
 import type {ShareTable} from '../share_table.js';
-import {homeShare, homesOf} from '../workspace_homes.js';
+import {rateHolderSharePpm, rateHoldersOf} from '../workspace_homes.js';
 
 const EXPIRY_MS = 10_000;
 
@@ -29,7 +29,7 @@
     const back = step(lost, ['a', 'b', 'c', 'd'], [], 2_000);
     expect({first, lost, sure, waiting, spread, back}).toMatchSnapshot();
     expect(isRevoked(lost, 'd')).toBe(true);
-    expect(homeShare(lost, homesOf(lost, 'co-op'), 'd')).toBe(0);
+    expect(rateHolderSharePpm(lost, rateHoldersOf(lost, 'co-op'), 'd')).toBe(0);
   });
 
   // Guards against shares that sum to more than 100 %.
@@ -43,7 +43,7 @@
         const present = names.filter(name => !lost.includes(name));
         table = step(table, present, lost, at);
         const sum = Object.values(table).reduce((all, e) => all + e.ppm, 0);
-        expect(sum, `seed ${seed}`).toBeLessThanOrEqual(WHOLE_PPM);
+        expect(sum, `seed ${seed}`).toBeLessThanOrEqual(FULL_SHARE_PPM);
       }
     }
   });
--- a/packages/core/src/quota/transfer/__tests__/transfer.test.ts
+++ b/packages/core/src/quota/transfer/__tests__/transfer.test.ts
@@ -1,7 +1,11 @@
 import {describe, expect, it} from 'vitest';
 import {Random} from '../../../common/random.js';
-import {peersToAsk, tokensToAsk, tokensToGive} from '../decide_transfer.js';
-import {accrueTokens, emptyBucket, noteDemand} from '../token_bucket.js';
+import {
+  requestedPeerCount,
+  tokensToRequest,
+  tokensToTransfer,
+} from '../decide_transfer.js';
+import {accrueTokens, emptyBucket, recordDemand} from '../token_bucket.js';
 import type {TokenBucket} from '../token_bucket.js';
 
 const LIMIT = {rate: 40, burst: 40};
@@ -32,7 +36,7 @@
     }
     if (random.fraction() < (perSecond * STEP_MS) / 1_000) {
       const vm = spread === 'one-vm' ? 0 : random.integer(0, VMS - 1);
-      update(vm, bucket => noteDemand(bucket, now));
+      update(vm, bucket => recordDemand(bucket, now));
       if ((buckets[vm]?.tokens ?? 0) >= 1) {
         update(vm, bucket => ({...bucket, tokens: bucket.tokens - 1}));
         admitted.push(now);
@@ -46,9 +50,9 @@
       const donorIndex = random.integer(0, VMS - 1);
       const donor = buckets[donorIndex];
       if (!recipient || !donor || donorIndex === vm) continue;
-      const transferred = tokensToGive(
+      const transferred = tokensToTransfer(
         donor,
-        tokensToAsk(recipient, 0, now),
+        tokensToRequest(recipient, 0, now),
         now,
       );
       update(donorIndex, bucket => ({
@@ -91,9 +95,9 @@
   it('combines fractions of a token from several VMs', () => {
     const partialBucket = {...emptyBucket(0), tokens: 0.5};
     const limit = {rate: 4, burst: 4};
-    const asked = tokensToAsk(emptyBucket(0), 1, 0);
-    const peers = peersToAsk(limit, SHARE_PPM, asked);
-    const given = tokensToGive(partialBucket, asked / peers, 0);
+    const asked = tokensToRequest(emptyBucket(0), 1, 0);
+    const peers = requestedPeerCount(limit, SHARE_PPM, asked);
+    const given = tokensToTransfer(partialBucket, asked / peers, 0);
     expect({asked, peers, sum: peers * given}).toMatchSnapshot();
     expect(peers * given).toBeGreaterThanOrEqual(1);
   });
--- a/packages/core/src/quota/transfer/decide_transfer.ts
+++ b/packages/core/src/quota/transfer/decide_transfer.ts
@@ -1,5 +1,5 @@
 import {demandAt} from './token_bucket.js';
-import {WHOLE_PPM} from '../quota_limits.js';
+import {FULL_SHARE_PPM} from '../quota_limits.js';
 import type {QuotaLimits} from '../quota_limits.js';
 import type {TokenBucket} from './token_bucket.js';
 
@@ -15,7 +15,7 @@
 const DEMAND_RESERVE_MS = 400;
 
 /** Returns the number of tokens that a VM should request from its peers. */
-export function tokensToAsk(
+export function tokensToRequest(
   bucket: TokenBucket,
   waiting: number,
   now: number,
@@ -27,7 +27,7 @@
 }
 
 /** Returns how many of the requested tokens a donor can transfer. */
-export function tokensToGive(
+export function tokensToTransfer(
   bucket: TokenBucket,
   requested: number,
   now: number,
@@ -43,12 +43,12 @@
  * Returns the number of peers to send a request to. Each VM holds less than one
  * token of a small workspace, so a token is combined from fractions of several.
  */
-export function peersToAsk(
+export function requestedPeerCount(
   limit: QuotaLimits,
   sharePpm: number,
   requested: number,
 ): number {
-  const heldPerPeer = (limit.burst * sharePpm) / WHOLE_PPM;
+  const heldPerPeer = (limit.burst * sharePpm) / FULL_SHARE_PPM;
   const neededPeers = Math.ceil((2 * requested) / Math.max(heldPerPeer, 0.01));
   return Math.min(
     MAX_REQUESTED_PEERS,
--- a/packages/core/src/quota/transfer/share_table.ts
+++ b/packages/core/src/quota/transfer/share_table.ts
@@ -1,4 +1,4 @@
-import {WHOLE_PPM} from '../quota_limits.js';
+import {FULL_SHARE_PPM} from '../quota_limits.js';
 
 /** One VM's share of the rates of all workspaces. */
 export interface ShareEntry {
@@ -20,12 +20,12 @@
 
 /** Splits all rates evenly among the VMs present at the first start. */
 export function initialShares(vms: readonly string[]): ShareTable {
-  const ppm = Math.floor(WHOLE_PPM / Math.max(1, vms.length));
+  const ppm = Math.floor(FULL_SHARE_PPM / Math.max(1, vms.length));
   return Object.fromEntries([...vms].sort().map(vm => [vm, {ppm}]));
 }
 
 /** Whether a revocation has no confirmed write time. */
-export function hasUnsureRevocation(table: ShareTable): boolean {
+export function hasUnconfirmedRevocation(table: ShareTable): boolean {
   return Object.values(table).some(
     entry => entry.revokedAt !== undefined && entry.lostBy === undefined,
   );
@@ -37,7 +37,7 @@
 }
 
 /** Which VMs are present and which are lost, as observed by one VM. */
-export interface ShareSituation {
+export interface FleetObservation {
   readonly present: readonly string[];
   readonly lost: readonly string[];
   /** The upper bound of the present store time. */
@@ -53,7 +53,7 @@
  */
 export function nextShares(
   table: ShareTable,
-  situation: ShareSituation,
+  situation: FleetObservation,
 ): ShareTable | undefined {
   const kept = Object.entries(table).flatMap(([vm, entry]) =>
     nextEntries(vm, entry, situation),
@@ -73,7 +73,7 @@
 function nextEntries(
   vm: string,
   entry: ShareEntry,
-  {present, lost, at, isExpired}: ShareSituation,
+  {present, lost, at, isExpired}: FleetObservation,
 ): Array<readonly [string, ShareEntry]> {
   if (entry.revokedAt === undefined) {
     return [[vm, lost.includes(vm) ? {...entry, revokedAt: at} : entry]];
@@ -92,9 +92,9 @@
   present: readonly string[],
 ): void {
   const held = [...next.values()].reduce((sum, entry) => sum + entry.ppm, 0);
-  const free = WHOLE_PPM - held;
+  const free = FULL_SHARE_PPM - held;
   const minDistributedPpm = Math.floor(
-    WHOLE_PPM / Math.max(1, present.length) / 4,
+    FULL_SHARE_PPM / Math.max(1, present.length) / 4,
   );
   if (present.length === 0 || free < minDistributedPpm) return;
   const withoutShare = present.filter(vm => (next.get(vm)?.ppm ?? 0) === 0);
--- a/packages/core/src/quota/transfer/token_bucket.ts
+++ b/packages/core/src/quota/transfer/token_bucket.ts
@@ -1,4 +1,4 @@
-import {WHOLE_PPM} from '../quota_limits.js';
+import {FULL_SHARE_PPM} from '../quota_limits.js';
 import type {QuotaLimits} from '../quota_limits.js';
 
 /**
@@ -31,7 +31,7 @@
   sharePpm: number,
   now: number,
 ): TokenBucket {
-  const share = sharePpm / WHOLE_PPM;
+  const share = sharePpm / FULL_SHARE_PPM;
   const elapsed = Math.max(0, now - bucket.at) / 1_000;
   const capacity = limit.burst * share;
   // Received tokens may exceed the share's capacity; they are kept.
@@ -47,7 +47,7 @@
 }
 
 /** Records a request for one token in the demand estimate. */
-export function noteDemand(bucket: TokenBucket, now: number): TokenBucket {
+export function recordDemand(bucket: TokenBucket, now: number): TokenBucket {
   return {
     ...bucket,
     demandPerSecond: demandAt(bucket, now) + 1_000 / DEMAND_TIME_CONSTANT_MS,
--- a/packages/core/src/quota/transfer/workspace_homes.ts
+++ b/packages/core/src/quota/transfer/workspace_homes.ts
@@ -1,5 +1,5 @@
-import {representativesOf} from '../../common/representatives.js';
-import {WHOLE_PPM} from '../quota_limits.js';
+import {selectRepresentatives} from '../../common/representatives.js';
+import {FULL_SHARE_PPM} from '../quota_limits.js';
 import {isRevoked} from './share_table.js';
 import type {ShareTable} from './share_table.js';
 
@@ -10,16 +10,16 @@
  * by the workspace's name hold the rate. A lost VM remains a rate holder until
  * its share is distributed.
  */
-export function homesOf(
+export function rateHoldersOf(
   table: ShareTable,
   workspace: string,
 ): readonly string[] {
   const vms = Object.keys(table).filter(vm => (table[vm]?.ppm ?? 0) > 0);
-  return representativesOf(workspace, vms);
+  return selectRepresentatives(workspace, vms);
 }
 
 /** Returns the share of a workspace's rate that a VM may spend. */
-export function homeShare(
+export function rateHolderSharePpm(
   table: ShareTable,
   holders: readonly string[],
   vm: string,
@@ -29,5 +29,5 @@
     holders.length ===
     Object.values(table).filter(entry => entry.ppm > 0).length;
   if (isWholeFleet) return table[vm]?.ppm ?? 0;
-  return Math.floor(WHOLE_PPM / holders.length);
+  return Math.floor(FULL_SHARE_PPM / holders.length);
 }
--- a/packages/core/src/retry/__tests__/decide_retry.test.ts
+++ b/packages/core/src/retry/__tests__/decide_retry.test.ts
@@ -3,7 +3,11 @@
 import type {RefusalKind} from '../../statement/refusal.js';
 import {decideRetry} from '../decide_retry.js';
 import type {Repeatability} from '../decide_retry.js';
-import {INITIAL_RETRY_BUDGET, earnRetry, spendRetry} from '../retry_budget.js';
+import {
+  INITIAL_RETRY_BUDGET,
+  depositRetry,
+  withdrawRetry,
+} from '../retry_budget.js';
 
 const REFUSALS: ReadonlyArray<Exclude<RefusalKind, 'backend-error'>> = [
   'no-member',
@@ -26,7 +30,12 @@
   now = 0,
 ): string {
   const decision = decideRetry(
-    {refusal: {kind, detail: ''}, repeatability, attempts, deadline: 1_000},
+    {
+      refusal: {kind, detail: ''},
+      repeatability,
+      attemptCount: attempts,
+      deadline: 1_000,
+    },
     INITIAL_RETRY_BUDGET,
     new Random(1),
     now,
@@ -59,8 +68,8 @@
     let budget = INITIAL_RETRY_BUDGET;
     let retries = 0;
     for (let request = 0; request < 1_000; request += 1) {
-      budget = earnRetry(budget);
-      const remainingBudget = spendRetry(budget);
+      budget = depositRetry(budget);
+      const remainingBudget = withdrawRetry(budget);
       if (remainingBudget) {
         budget = remainingBudget;
         retries += 1;
--- a/packages/core/src/retry/decide_retry.ts
+++ b/packages/core/src/retry/decide_retry.ts
@@ -1,6 +1,6 @@
 import type {Random} from '../common/random.js';
 import type {Refusal} from '../statement/refusal.js';
-import {spendRetry} from './retry_budget.js';
+import {withdrawRetry} from './retry_budget.js';
 import type {RetryBudget} from './retry_budget.js';
 
 /** Whether a statement may be sent again after an unknown outcome. */
@@ -20,7 +20,7 @@
   readonly refusal: Refusal;
   readonly repeatability: Repeatability;
   /** The number of attempts so far, including this one. */
-  readonly attempts: number;
+  readonly attemptCount: number;
   /** When the caller stops waiting. */
   readonly deadline: number;
 }
@@ -57,13 +57,16 @@
   if (!isRetryable(attempt)) return {kind: 'give-up', reason: 'not-retryable'};
   const maxDelayMs = Math.min(
     MAX_BACKOFF_MS,
-    FIRST_BACKOFF_MS * 2 ** (attempt.attempts - 1),
+    FIRST_BACKOFF_MS * 2 ** (attempt.attemptCount - 1),
   );
   const delayMs = random.integer(0, maxDelayMs);
-  if (attempt.attempts >= MAX_ATTEMPTS || now + delayMs >= attempt.deadline) {
+  if (
+    attempt.attemptCount >= MAX_ATTEMPTS ||
+    now + delayMs >= attempt.deadline
+  ) {
     return {kind: 'give-up', reason: 'deadline'};
   }
-  const remainingBudget = spendRetry(budget);
+  const remainingBudget = withdrawRetry(budget);
   return remainingBudget
     ? {kind: 'retry', delayMs, budget: remainingBudget}
     : {kind: 'give-up', reason: 'budget'};
--- a/packages/core/src/retry/retry_budget.ts
+++ b/packages/core/src/retry/retry_budget.ts
@@ -21,13 +21,13 @@
 export const INITIAL_RETRY_BUDGET: RetryBudget = {available: INITIAL_RETRIES};
 
 /** Adds the allowance of one first attempt. */
-export function earnRetry(budget: RetryBudget): RetryBudget {
+export function depositRetry(budget: RetryBudget): RetryBudget {
   return {
     available: Math.min(MAX_RETRIES, budget.available + RETRIES_PER_REQUEST),
   };
 }
 
 /** Takes one retry from the budget; returns undefined if none is left. */
-export function spendRetry(budget: RetryBudget): RetryBudget | undefined {
+export function withdrawRetry(budget: RetryBudget): RetryBudget | undefined {
   return budget.available >= 1 ? {available: budget.available - 1} : undefined;
 }
--- a/packages/core/src/routing/__tests__/age_bound.test.ts
+++ b/packages/core/src/routing/__tests__/age_bound.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {ageBound} from '../freshness.js';
+import {ageBoundMs} from '../freshness.js';
 import type {FreshnessLog} from '../freshness.js';
 import type {MemberView} from '../group_view.js';
 
@@ -38,7 +38,7 @@
   it('uses the newest proven sample that the member has applied', () => {
     const ages = [4, 5, 7, 8, 9].map(position => [
       position,
-      ageBound(member(position), LOG, 1_000) ?? 'unknown',
+      ageBoundMs(member(position), LOG, 1_000) ?? 'unknown',
     ]);
     expect(Object.fromEntries(ages)).toMatchSnapshot();
   });
@@ -46,8 +46,8 @@
   it('gives no bound without a member state or samples', () => {
     const unpolled = {...member(9), state: undefined} as unknown as MemberView;
     expect([
-      ageBound(unpolled, LOG, 1_000) ?? 'unknown',
-      ageBound(member(9), [], 1_000) ?? 'unknown',
+      ageBoundMs(unpolled, LOG, 1_000) ?? 'unknown',
+      ageBoundMs(member(9), [], 1_000) ?? 'unknown',
     ]).toMatchSnapshot();
   });
 });
--- a/packages/core/src/routing/__tests__/position_samples.test.ts
+++ b/packages/core/src/routing/__tests__/position_samples.test.ts
@@ -5,7 +5,7 @@
   requiredPosition,
 } from '../position_samples.js';
 import type {PositionSamples} from '../position_samples.js';
-import {rankForRead} from '../rank_members.js';
+import {rankMembersForRead} from '../rank_members.js';
 import type {MemberLoad} from '../rank_members.js';
 
 function sampleAt(askedAt: number, term: number, position: number) {
@@ -46,7 +46,7 @@
   proximity: 'same-data-centre',
   inFlight: 0,
   slots: 2,
-  meanMs: 10,
+  meanLatencyMs: 10,
   connection: 'idle',
   applied: {term: 3, position: 20},
   avoidUntil: 0,
@@ -65,8 +65,8 @@
       {...LOAD, member: 'failing', avoidUntil: 2_000},
     ];
     expect({
-      known: rankForRead(members, {term: 3, position: 14}, 1_000),
-      unknown: rankForRead(members, undefined, 1_000),
+      known: rankMembersForRead(members, {term: 3, position: 14}, 1_000),
+      unknown: rankMembersForRead(members, undefined, 1_000),
     }).toMatchSnapshot();
   });
 });
--- a/packages/core/src/routing/freshness.ts
+++ b/packages/core/src/routing/freshness.ts
@@ -86,7 +86,7 @@
  * bound is the age of the newest proven sample whose log end the member has
  * applied. Returns undefined if there is no such sample.
  */
-export function ageBound(
+export function ageBoundMs(
   member: MemberView,
   log: FreshnessLog,
   now: number,
--- a/packages/core/src/routing/outlier.ts
+++ b/packages/core/src/routing/outlier.ts
@@ -15,7 +15,7 @@
 }
 
 /** The health of a member without transport errors. */
-export const HEALTHY: MemberHealth = {
+export const HEALTHY_MEMBER: MemberHealth = {
   consecutiveFailures: 0,
   ejections: 0,
   ejectedUntil: 0,
@@ -28,12 +28,12 @@
  * Updates a member's health after an attempt: an answer resets it, and too many
  * consecutive transport errors eject the member for a time.
  */
-export function afterAttempt(
+export function updateMemberHealth(
   health: MemberHealth,
   outcome: AttemptOutcome,
   now: number,
 ): MemberHealth {
-  if (outcome === 'answered') return HEALTHY;
+  if (outcome === 'answered') return HEALTHY_MEMBER;
   const consecutiveFailures = health.consecutiveFailures + 1;
   if (consecutiveFailures < MAX_CONSECUTIVE_FAILURES) {
     return {...health, consecutiveFailures};
--- a/packages/core/src/routing/rank_members.ts
+++ b/packages/core/src/routing/rank_members.ts
@@ -12,7 +12,7 @@
   /** The number of statements that the member executes at a time. */
   readonly slots: number;
   /** The mean time from sending a statement to receiving its answer. */
-  readonly meanMs: number;
+  readonly meanLatencyMs: number;
   /** Whether the workspace has an idle connection or must open one. */
   readonly connection: 'idle' | 'to-open';
   /** The applied log position that the member reported in its last answer. */
@@ -43,7 +43,7 @@
  * serve the read only if no other member can. Without a required position only
  * the primary can serve the read.
  */
-export function rankForRead(
+export function rankMembersForRead(
   members: readonly MemberLoad[],
   required: LogPosition | undefined,
   now: number,
@@ -64,7 +64,7 @@
   required: LogPosition | undefined,
 ): number {
   const waiting = Math.max(0, load.inFlight + 1 - load.slots);
-  let cost = load.meanMs * (1 + waiting / Math.max(1, load.slots));
+  let cost = load.meanLatencyMs * (1 + waiting / Math.max(1, load.slots));
   if (load.connection === 'to-open') cost += OPEN_CONNECTION_COST_MS;
   if (load.proximity === 'same-region') cost += OTHER_DATA_CENTRE_COST_MS;
   if (load.proximity === 'other-region') cost += OTHER_REGION_COST_MS;
--- a/packages/core/src/routing/replica_first_policy.ts
+++ b/packages/core/src/routing/replica_first_policy.ts
@@ -1,6 +1,6 @@
 import type {Random} from '../common/random.js';
 import {covers} from '../session/log_position.js';
-import {ageBound} from './freshness.js';
+import {ageBoundMs} from './freshness.js';
 import type {FreshnessLog} from './freshness.js';
 import {currentPrimary} from './group_view.js';
 import type {GroupView, MemberView} from './group_view.js';
@@ -63,6 +63,6 @@
   if (request.avoid.includes(member.backendServer)) return false;
   if (request.requirement.kind !== 'at-least') return false;
   if (!covers(state.applied, request.requirement.position)) return false;
-  const age = ageBound(member, freshness, now);
+  const age = ageBoundMs(member, freshness, now);
   return age !== undefined && age <= request.maxAgeMs;
 }
--- a/packages/core/src/session/session_token.ts
+++ b/packages/core/src/session/session_token.ts
@@ -1,6 +1,6 @@
 import {createHmac, timingSafeEqual} from 'node:crypto';
 import type {Configuration} from '../configuration/configuration.js';
-import {indexOf} from '../configuration/configuration_index.js';
+import {configurationIndexOf} from '../configuration/configuration_index.js';
 import type {ParsedStatement} from '../statement/statement.js';
 import {LOG_START} from './log_position.js';
 import type {LogPosition} from './log_position.js';
@@ -63,7 +63,7 @@
  * Returns what the session token of a statement requires of a read in one
  * database.
  */
-export function requirementOf(
+export function sessionRequirementOf(
   statement: ParsedStatement,
   database: string,
 ): SessionRequirement {
@@ -75,7 +75,7 @@
   const seen = decodeSessionToken(
     options.session,
     caller.workspace,
-    verifiersOf(context.current.configuration, caller.workspace),
+    verifiersOf(context.activeConfiguration.configuration, caller.workspace),
   );
   if (!seen) return {kind: 'unknown'};
   return {kind: 'at-least', position: seen.get(database) ?? LOG_START};
@@ -86,7 +86,7 @@
   configuration: Configuration,
   workspace: string,
 ): string[] {
-  const found = indexOf(configuration).workspaces.get(workspace);
+  const found = configurationIndexOf(configuration).workspaces.get(workspace);
   return (found?.keys ?? []).map(key => key.verifier);
 }
 
--- a/packages/core/src/sessions/__tests__/plan_preparation.test.ts
+++ b/packages/core/src/sessions/__tests__/plan_preparation.test.ts
@@ -1,41 +1,41 @@
 import {describe, expect, it} from 'vitest';
 import {
-  EMPTY_CONTENTS,
-  afterPreparation,
+  EMPTY_SESSION_STATE,
+  applyPreparationStep,
   planPreparation,
-  sameValues,
+  haveSameValues,
 } from '../plan_preparation.js';
-import type {ConnectionContents} from '../plan_preparation.js';
+import type {ConnectionSessionState} from '../plan_preparation.js';
 import type {PreparedStatement} from '../prepared_statement.js';
 
 const READ: PreparedStatement = {access: 'read', shape: 'q1'};
 const WRITE: PreparedStatement = {access: 'write', shape: 'q1'};
 
-const USED: ConnectionContents = {
+const USED: ConnectionSessionState = {
   values: new Map([
     ['lang', 'tw'],
     ['zone', '8'],
   ]),
-  prepared: new Set(['r_q1']),
+  preparedNames: new Set(['r_q1']),
 };
 
 const CASES: ReadonlyArray<
   readonly [
     string,
-    ConnectionContents,
+    ConnectionSessionState,
     Array<readonly [string, string]>,
     PreparedStatement | undefined,
   ]
 > = [
   [
     'does nothing on a new connection for a session without values',
-    EMPTY_CONTENTS,
+    EMPTY_SESSION_STATE,
     [],
     undefined,
   ],
   [
     'sets the values and prepares the statement on a new connection',
-    EMPTY_CONTENTS,
+    EMPTY_SESSION_STATE,
     [['lang', 'tw']],
     READ,
   ],
@@ -80,8 +80,8 @@
   // with another prepared statement.
   it.each(CASES)('%s', (unusedName, contents, values, statement) => {
     const steps = planPreparation(contents, new Map(values), statement);
-    const after = steps.reduce(afterPreparation, contents);
-    expect(sameValues(after.values, new Map(values))).toBe(true);
+    const after = steps.reduce(applyPreparationStep, contents);
+    expect(haveSameValues(after.values, new Map(values))).toBe(true);
     expect(steps).toMatchSnapshot();
   });
 });
--- a/packages/core/src/sessions/plan_preparation.ts
+++ b/packages/core/src/sessions/plan_preparation.ts
@@ -5,17 +5,17 @@
 export type SessionValues = ReadonlyMap<string, string>;
 
 /** The session state on a member connection, left by earlier statements. */
-export interface ConnectionContents {
+export interface ConnectionSessionState {
   readonly values: SessionValues;
   /** The shared names of the statements that are prepared on it. */
-  readonly prepared: ReadonlySet<string>;
+  readonly preparedNames: ReadonlySet<string>;
 }
 
 /** The session state on a new connection, or after a reset. */
 
-export const EMPTY_CONTENTS: ConnectionContents = {
+export const EMPTY_SESSION_STATE: ConnectionSessionState = {
   values: new Map(),
-  prepared: new Set(),
+  preparedNames: new Set(),
 };
 
 /** A command that prepares a connection for a statement of a session. */
@@ -35,7 +35,7 @@
  * so a value that the session does not have requires a reset.
  */
 export function planPreparation(
-  contents: ConnectionContents,
+  contents: ConnectionSessionState,
   values: SessionValues,
   statement: PreparedStatement | undefined,
 ): readonly PreparationStep[] {
@@ -43,14 +43,14 @@
   let base = contents;
   if ([...contents.values.keys()].some(name => !values.has(name))) {
     steps.push({kind: 'reset'});
-    base = EMPTY_CONTENTS;
+    base = EMPTY_SESSION_STATE;
   }
   for (const [name, value] of values) {
     if (base.values.get(name) !== value) steps.push({kind: 'set', name, value});
   }
   if (statement) {
     const name = sharedStatementName(statement);
-    if (!base.prepared.has(name)) {
+    if (!base.preparedNames.has(name)) {
       steps.push({kind: 'prepare', name, statement});
     }
   }
@@ -58,13 +58,13 @@
 }
 
 /** Returns the session state on the connection after a step has succeeded. */
-export function afterPreparation(
-  contents: ConnectionContents,
+export function applyPreparationStep(
+  contents: ConnectionSessionState,
   step: PreparationStep,
-): ConnectionContents {
+): ConnectionSessionState {
   switch (step.kind) {
     case 'reset':
-      return EMPTY_CONTENTS;
+      return EMPTY_SESSION_STATE;
     case 'set':
       return {
         ...contents,
@@ -73,13 +73,13 @@
     case 'prepare':
       return {
         ...contents,
-        prepared: new Set(contents.prepared).add(step.name),
+        preparedNames: new Set(contents.preparedNames).add(step.name),
       };
   }
 }
 
 /** Returns whether two sessions have set the same values. */
-export function sameValues(a: SessionValues, b: SessionValues): boolean {
+export function haveSameValues(a: SessionValues, b: SessionValues): boolean {
   if (a.size !== b.size) return false;
   for (const [name, value] of a) if (b.get(name) !== value) return false;
   return true;
--- a/packages/core/src/statement/__tests__/match_route_filter.test.ts
+++ b/packages/core/src/statement/__tests__/match_route_filter.test.ts
@@ -51,7 +51,11 @@
     scope: 'autocommit',
     receivedAt: 100,
     context: {
-      current: {version: 1, hash: 'h', configuration: CONFIGURATION},
+      activeConfiguration: {
+        version: 1,
+        hash: 'h',
+        configuration: CONFIGURATION,
+      },
       confirmation,
       lifecycle: 'serving',
     },
--- a/packages/core/src/statement/__tests__/route_lookup.test.ts
+++ b/packages/core/src/statement/__tests__/route_lookup.test.ts
@@ -43,7 +43,11 @@
     scope: 'autocommit',
     receivedAt: 100,
     context: {
-      current: {version: 1, hash: 'h', configuration: CONFIGURATION},
+      activeConfiguration: {
+        version: 1,
+        hash: 'h',
+        configuration: CONFIGURATION,
+      },
       confirmation: 'confirmed',
       lifecycle: 'serving',
     },
--- a/packages/core/src/statement/authenticate_filter.ts
+++ b/packages/core/src/statement/authenticate_filter.ts
@@ -20,7 +20,7 @@
   ): Result<ReceivedStatement, Refusal> {
     const {caller, context} = statement;
     if (caller.kind === 'anonymous') return ok(statement);
-    const {configuration} = context.current;
+    const {configuration} = context.activeConfiguration;
     const workspace = configuration.workspaces.find(
       item => item.name === caller.workspace,
     );
--- a/packages/core/src/statement/match_route_filter.ts
+++ b/packages/core/src/statement/match_route_filter.ts
@@ -3,10 +3,13 @@
 import {fail, ok} from '../common/result.js';
 import type {Result} from '../common/result.js';
 import type {Configuration} from '../configuration/configuration.js';
-import {homeOf, indexOf} from '../configuration/configuration_index.js';
+import {
+  defaultDatabaseOf,
+  configurationIndexOf,
+} from '../configuration/configuration_index.js';
 import {DEFAULT_ROUTE} from '../routing/route.js';
 import type {Route} from '../routing/route.js';
-import {requirementOf} from '../session/session_token.js';
+import {sessionRequirementOf} from '../session/session_token.js';
 import type {Refusal} from './refusal.js';
 import type {ParsedStatement, RoutedStatement} from './statement.js';
 
@@ -19,7 +22,7 @@
   override readonly name = 'match-route';
 
   override run(statement: ParsedStatement): Result<RoutedStatement, Refusal> {
-    const {configuration} = statement.context.current;
+    const {configuration} = statement.context.activeConfiguration;
     const route = findRoute(statement, configuration);
     if (!route.ok) return route;
     const database = findDatabase(statement, configuration, route.value);
@@ -34,7 +37,7 @@
         route.value.maxAgeMs,
       ),
       deadline: statement.receivedAt + route.value.deadlineMs,
-      requirement: requirementOf(statement, database.value),
+      requirement: sessionRequirementOf(statement, database.value),
       ...statement,
       // A query may call a function that writes, and only a read route declares
       // that it does not.
@@ -51,7 +54,7 @@
   const route =
     name === undefined
       ? DEFAULT_ROUTE
-      : indexOf(configuration).routes.get(name);
+      : configurationIndexOf(configuration).routes.get(name);
   if (!route) {
     return fail({
       kind: 'unknown-route',
@@ -79,7 +82,7 @@
   route: Route,
 ): Result<string, Refusal> {
   const {databaseName, caller, options} = statement;
-  const {databases, workspaces} = indexOf(configuration);
+  const {databases, workspaces} = configurationIndexOf(configuration);
   const found = databases.get(databaseName);
   const allowed =
     caller.kind === 'keyed'
@@ -96,5 +99,7 @@
   if (options.shard !== undefined) {
     return ok(rendezvousOrder(options.shard, found.names)[0] as string);
   }
-  return ok(homeOf(found, caller.kind === 'keyed' ? caller.workspace : ''));
+  return ok(
+    defaultDatabaseOf(found, caller.kind === 'keyed' ? caller.workspace : ''),
+  );
 }
--- a/packages/core/src/statement/parse_options_filter.ts
+++ b/packages/core/src/statement/parse_options_filter.ts
@@ -10,7 +10,7 @@
   StatementOptions,
 } from './statement.js';
 import {isOptionsComment, parseOptionsComment} from './statement_options.js';
-import {classifyStatement, isDefinition} from './statement_verb.js';
+import {classifyStatement, isDefinitionStatement} from './statement_verb.js';
 
 /** Parses the options of a statement and classifies it. */
 export class ParseOptionsFilter extends Filter<
@@ -32,7 +32,10 @@
     if (!options.ok) {
       return fail({kind: 'malformed-options', detail: options.err});
     }
-    if (options.value.requestId !== undefined && isDefinition(tokens)) {
+    if (
+      options.value.requestId !== undefined &&
+      isDefinitionStatement(tokens)
+    ) {
       return fail({
         kind: 'unsupported',
         detail:
--- a/packages/core/src/statement/statement.ts
+++ b/packages/core/src/statement/statement.ts
@@ -18,7 +18,7 @@
  * instead of later state.
  */
 export interface StatementContext {
-  readonly current: VersionedConfiguration;
+  readonly activeConfiguration: VersionedConfiguration;
   readonly confirmation: Confirmation;
   readonly lifecycle: Lifecycle;
 }
--- a/packages/core/src/statement/statement_verb.ts
+++ b/packages/core/src/statement/statement_verb.ts
@@ -102,7 +102,7 @@
 }
 
 /** Returns whether MySQL commits a statement implicitly. */
-export function isDefinition(tokens: readonly SqlToken[]): boolean {
+export function isDefinitionStatement(tokens: readonly SqlToken[]): boolean {
   const first = tokens.find(token => token.kind !== 'comment');
   return DEFINITION_KEYWORDS.has(first?.text.toUpperCase() ?? '');
 }
--- a/packages/demo/src/demo_step.ts
+++ b/packages/demo/src/demo_step.ts
@@ -9,7 +9,7 @@
 }
 
 /** Throws an error that names `what` unless the values are equal. */
-export function expectEqual(
+export function assertEqual(
   what: string,
   actual: unknown,
   expected: unknown,
--- a/packages/demo/src/main.ts
+++ b/packages/demo/src/main.ts
@@ -1,6 +1,6 @@
 import {fileURLToPath} from 'node:url';
 import meow from 'meow';
-import {AUTHORITY, Fleet} from '@pistachiorill/launcher';
+import {AUTHORITY_PROFILE, Fleet} from '@pistachiorill/launcher';
 import {DemoContext} from './demo_context.js';
 import type {DemoStep} from './demo_step.js';
 import {DrainDataCentre} from './steps/drain_data_centre.js';
@@ -36,7 +36,7 @@
 );
 
 const fleet = new Fleet(
-  {...AUTHORITY, vmCount: 3, databaseCount: 1},
+  {...AUTHORITY_PROFILE, vmCount: 3, databaseCount: 1},
   fileURLToPath(new URL('.', import.meta.url)),
 );
 const context = new DemoContext(fleet);
--- a/packages/demo/src/queries.ts
+++ b/packages/demo/src/queries.ts
@@ -16,7 +16,7 @@
 }
 
 /** Repeats the attempt until it returns a value; throws after the time limit. */
-export async function until<T>(
+export async function retryUntilDefined<T>(
   what: string,
   timeoutMs: number,
   attempt: () => Promise<T | undefined>,
--- a/packages/demo/src/steps/drain_data_centre.ts
+++ b/packages/demo/src/steps/drain_data_centre.ts
@@ -1,6 +1,6 @@
 import type {DemoContext} from '../demo_context.js';
-import {DemoStep, expectEqual} from '../demo_step.js';
-import {queryText, until} from '../queries.js';
+import {DemoStep, assertEqual} from '../demo_step.js';
+import {queryText, retryUntilDefined} from '../queries.js';
 
 const LIMIT_MS = 10_000;
 const DATA_CENTRE = 'warner-c';
@@ -16,7 +16,7 @@
     const outMs = Date.now() - start;
     const caller = await context.connect('macon-a');
     const count = await queryText(caller, 'SELECT COUNT(*) FROM batch');
-    expectEqual('the number of rows through another VM', count, '1');
+    assertEqual('the number of rows through another VM', count, '1');
     const back = Date.now();
     await context.fleet.promote();
     await this.waitForStatus(context, 200);
@@ -25,7 +25,7 @@
 
   private waitForStatus(context: DemoContext, status: number): Promise<true> {
     const {httpPort} = context.vmIn(DATA_CENTRE);
-    return until(`readiness ${status}`, LIMIT_MS, async () => {
+    return retryUntilDefined(`readiness ${status}`, LIMIT_MS, async () => {
       const res = await fetch(`http://127.0.0.1:${httpPort}/readyz`);
       return res.status === status ? true : undefined;
     });
--- a/packages/demo/src/steps/repeat_request.ts
+++ b/packages/demo/src/steps/repeat_request.ts
@@ -1,5 +1,5 @@
 import type {DemoContext} from '../demo_context.js';
-import {DemoStep, expectEqual} from '../demo_step.js';
+import {DemoStep, assertEqual} from '../demo_step.js';
 import {queryText} from '../queries.js';
 
 /** Resends a request through another VM, which returns the first outcome. */
@@ -12,7 +12,7 @@
       "/*route='release',request_id='r-1'*/ INSERT INTO batch VALUES (1, 'A7')",
     );
     const count = await queryText(caller, 'SELECT COUNT(*) FROM batch');
-    expectEqual('the number of rows', count, '1');
+    assertEqual('the number of rows', count, '1');
     return 'the VM returned the recorded outcome and inserted no second row';
   }
 }
--- a/packages/demo/src/steps/replace_primary.ts
+++ b/packages/demo/src/steps/replace_primary.ts
@@ -1,7 +1,7 @@
 import {databaseNames, memberName} from '@pistachiorill/launcher';
 import type {DemoContext} from '../demo_context.js';
-import {DemoStep, expectEqual} from '../demo_step.js';
-import {queryText, until} from '../queries.js';
+import {DemoStep, assertEqual} from '../demo_step.js';
+import {queryText, retryUntilDefined} from '../queries.js';
 
 const LIMIT_MS = 15_000;
 
@@ -17,14 +17,14 @@
     const start = Date.now();
     await fleet.members.get(former)?.kill();
     // The request id makes it safe to resend the write until it succeeds.
-    await until('a write after the failover', LIMIT_MS, () =>
+    await retryUntilDefined('a write after the failover', LIMIT_MS, () =>
       caller.query(
         "/*route='release',request_id='r-2'*/ INSERT INTO batch VALUES (2, 'B1')",
       ),
     );
     const gapMs = Date.now() - start;
     const count = await queryText(caller, 'SELECT COUNT(*) FROM batch');
-    expectEqual('the number of rows', count, '2');
+    assertEqual('the number of rows', count, '2');
     const primary = await this.findNewPrimary(context, database);
     return `${former} replaced by ${primary}, next write after ${gapMs} ms`;
   }
--- a/packages/demo/src/steps/stale_read.ts
+++ b/packages/demo/src/steps/stale_read.ts
@@ -1,6 +1,6 @@
 import type {DemoContext} from '../demo_context.js';
 import {DemoStep} from '../demo_step.js';
-import {queryText, until} from '../queries.js';
+import {queryText, retryUntilDefined} from '../queries.js';
 
 const LIMIT_MS = 5_000;
 const SERVED_BY_REPLICA =
@@ -12,13 +12,17 @@
 
   override async run(context: DemoContext): Promise<string> {
     const caller = await context.connect('perry-b');
-    const served = await until('a read on a replica', LIMIT_MS, async () => {
-      await queryText(
-        caller,
-        "/*route='lookup',max_age_ms='2000'*/ SELECT COUNT(*) FROM batch",
-      );
-      return this.countReplicaReads(context);
-    });
+    const served = await retryUntilDefined(
+      'a read on a replica',
+      LIMIT_MS,
+      async () => {
+        await queryText(
+          caller,
+          "/*route='lookup',max_age_ms='2000'*/ SELECT COUNT(*) FROM batch",
+        );
+        return this.countReplicaReads(context);
+      },
+    );
     return `replicas served ${served} reads`;
   }
 
--- a/packages/demo/src/steps/write_and_read.ts
+++ b/packages/demo/src/steps/write_and_read.ts
@@ -1,5 +1,5 @@
 import type {DemoContext} from '../demo_context.js';
-import {DemoStep, expectEqual} from '../demo_step.js';
+import {DemoStep, assertEqual} from '../demo_step.js';
 import {queryText, sessionToken} from '../queries.js';
 
 /** Writes through one VM and reads its own write through another. */
@@ -20,7 +20,7 @@
       reader,
       `/*route='lookup',session='${token}'*/ SELECT lot FROM batch WHERE id = 1`,
     );
-    expectEqual('the lot of the row', lot, 'A7');
+    assertEqual('the lot of the row', lot, 'A7');
     return `wrote through macon-a, read "${lot}" through perry-b`;
   }
 }
--- a/packages/document/src/check_document.ts
+++ b/packages/document/src/check_document.ts
@@ -1,10 +1,10 @@
 import type {Environment} from '@pistachiorill/core';
-import {conflictErrors} from './conflict_rules.js';
+import {findConflicts} from './conflict_rules.js';
 import type {DocumentError} from './document_error.js';
-import {readDocumentSections} from './document_sections.js';
+import {parseDocumentSections} from './document_sections.js';
 import type {DocumentSections} from './document_sections.js';
-import {documentWarnings} from './document_warnings.js';
-import {referenceErrors} from './reference_rules.js';
+import {findWarnings} from './document_warnings.js';
+import {findInvalidReferences} from './reference_rules.js';
 
 /** The result of checking a document, with errors in line order. */
 export interface DocumentCheck {
@@ -18,18 +18,17 @@
   text: string,
   environments: readonly Environment[],
 ): DocumentCheck {
-  const read = readDocumentSections(text);
+  const read = parseDocumentSections(text);
   const errors = [
     ...read.errors,
-    ...referenceErrors(read),
-    ...conflictErrors(read, environments),
+    ...findInvalidReferences(read),
+    ...findConflicts(read, environments),
   ];
   return {
     sections: read.sections,
     errors: errors.sort(byLine),
     // Sections with errors are left out, which would cause false warnings.
-    warnings:
-      errors.length > 0 ? [] : documentWarnings(read.sections).sort(byLine),
+    warnings: errors.length > 0 ? [] : findWarnings(read.sections).sort(byLine),
   };
 }
 
--- a/packages/document/src/conflict_rules.ts
+++ b/packages/document/src/conflict_rules.ts
@@ -1,13 +1,13 @@
 import type {Environment} from '@pistachiorill/core';
 import type {DocumentError} from './document_error.js';
-import type {DocumentSection, ReadSections} from './document_sections.js';
+import type {DocumentSection, ParsedSections} from './document_sections.js';
 import {errorAt} from './reference_rules.js';
 
-type Sections = ReadSections['sections'];
+type Sections = ParsedSections['sections'];
 
 /** Finds values that are valid individually but conflict with each other. */
-export function conflictErrors(
-  read: ReadSections,
+export function findConflicts(
+  read: ParsedSections,
   environments: readonly Environment[],
 ): DocumentError[] {
   const {sections} = read;
@@ -26,7 +26,7 @@
  * Requires the basic sections, so that an empty document is not promoted by
  * mistake, which would remove everything.
  */
-function missingSections(read: ReadSections): DocumentError[] {
+function missingSections(read: ParsedSections): DocumentError[] {
   const required = ['data_centre', 'backend_server', 'database'] as const;
   const titles = [...read.titles];
   return required
--- a/packages/document/src/document_sections.ts
+++ b/packages/document/src/document_sections.ts
@@ -1,7 +1,7 @@
 import type {DocumentError} from './document_error.js';
-import {readIniSections, titleOf, valuesOf} from './ini_sections.js';
+import {parseIniSections, titleOf, valuesOf} from './ini_sections.js';
 import type {IniSection} from './ini_sections.js';
-import {schemaErrors} from './schema_errors.js';
+import {toDocumentErrors} from './schema_errors.js';
 import {SECTION_SCHEMAS} from './section_schemas.js';
 import type {SectionKind, SectionValues} from './section_schemas.js';
 
@@ -20,7 +20,7 @@
 };
 
 /** The result of parsing a file. Sections with errors are left out. */
-export interface ReadSections {
+export interface ParsedSections {
   readonly sections: DocumentSections;
   /** The titles of all sections, including those with errors. */
   readonly titles: ReadonlySet<string>;
@@ -35,7 +35,7 @@
 const NAME_PATTERN = /^[a-z0-9][a-z0-9_-]{0,63}$/;
 
 /** Parses the sections of a document and validates each one separately. */
-export function readDocumentSections(text: string): ReadSections {
+export function parseDocumentSections(text: string): ParsedSections {
   const sections: DocumentSections = {
     document: [],
     data_centre: [],
@@ -45,7 +45,7 @@
     key: [],
     route: [],
   };
-  const file = readIniSections(text);
+  const file = parseIniSections(text);
   const errors = file.sections.flatMap(section =>
     addSection(sections, section),
   );
@@ -78,7 +78,11 @@
     ...nameErrors(kind, source),
     ...(parsed.success
       ? []
-      : schemaErrors(source, parsed.error.issues, Object.keys(schema.shape))),
+      : toDocumentErrors(
+          source,
+          parsed.error.issues,
+          Object.keys(schema.shape),
+        )),
   ];
   if (errors.length === 0 && parsed.success) {
     const list = sections[kind] as Array<DocumentSection<SectionKind>>;
--- a/packages/document/src/document_warnings.ts
+++ b/packages/document/src/document_warnings.ts
@@ -5,7 +5,7 @@
 const RECOMMENDED_MEMBERS = 3;
 
 /** Finds values that are valid but probably unintended. */
-export function documentWarnings(sections: DocumentSections): DocumentError[] {
+export function findWarnings(sections: DocumentSections): DocumentError[] {
   return [
     ...memberWarnings(sections),
     ...connectionWarnings(sections),
--- a/packages/document/src/ini_sections.ts
+++ b/packages/document/src/ini_sections.ts
@@ -46,7 +46,7 @@
  * parses the lines and uses the library only to decode values. A repeated
  * section or key is an error, because only one of its values could apply.
  */
-export function readIniSections(text: string): IniFile {
+export function parseIniSections(text: string): IniFile {
   const reader = new IniReader();
   for (const [index, raw] of text.split(/\r?\n/).entries()) {
     const content = raw.replace(/^\uFEFF/, '').trim();
--- a/packages/document/src/process_settings.ts
+++ b/packages/document/src/process_settings.ts
@@ -2,9 +2,9 @@
 import type {Result} from '@pistachiorill/core';
 import {z} from 'zod';
 import type {DocumentError} from './document_error.js';
-import {lineOf, readIniSections, titleOf, valuesOf} from './ini_sections.js';
+import {lineOf, parseIniSections, titleOf, valuesOf} from './ini_sections.js';
 import type {IniSection} from './ini_sections.js';
-import {schemaErrors} from './schema_errors.js';
+import {toDocumentErrors} from './schema_errors.js';
 import {ADDRESS} from './section_schemas.js';
 
 const MAX_MS = 3_600_000;
@@ -102,7 +102,7 @@
 export function parseProcessSettings(
   text: string,
 ): Result<ProcessSettings, readonly DocumentError[]> {
-  const file = readIniSections(text);
+  const file = parseIniSections(text);
   const errors = [
     ...file.errors,
     ...file.sections.flatMap(sectionErrors),
@@ -134,7 +134,11 @@
   const parsed = schema.safeParse(valuesOf(section));
   if (parsed.success) return [];
   const object = 'unwrap' in schema ? schema.unwrap() : schema;
-  return schemaErrors(section, parsed.error.issues, Object.keys(object.shape));
+  return toDocumentErrors(
+    section,
+    parsed.error.issues,
+    Object.keys(object.shape),
+  );
 }
 
 function missingSections(sections: readonly IniSection[]): DocumentError[] {
--- a/packages/document/src/reference_rules.ts
+++ b/packages/document/src/reference_rules.ts
@@ -1,5 +1,5 @@
 import type {DocumentError, DocumentErrorKind} from './document_error.js';
-import type {DocumentSection, ReadSections} from './document_sections.js';
+import type {DocumentSection, ParsedSections} from './document_sections.js';
 import {lineOf, titleOf} from './ini_sections.js';
 import type {SectionKind} from './section_schemas.js';
 
@@ -18,7 +18,7 @@
 }
 
 /** Finds references to names that the document does not define. */
-export function referenceErrors(read: ReadSections): DocumentError[] {
+export function findInvalidReferences(read: ParsedSections): DocumentError[] {
   const {sections, titles} = read;
   const services = new Set(sections.database.map(d => d.values.service));
   const checkReference = (
--- a/packages/document/src/schema_errors.ts
+++ b/packages/document/src/schema_errors.ts
@@ -4,7 +4,7 @@
 import type {IniSection} from './ini_sections.js';
 
 /** Converts the Zod issues of one section to errors that state valid input. */
-export function schemaErrors(
+export function toDocumentErrors(
   section: IniSection,
   issues: readonly z.core.$ZodIssue[],
   knownKeys: readonly string[],
--- a/packages/entry/src/backend/backend_task.ts
+++ b/packages/entry/src/backend/backend_task.ts
@@ -55,7 +55,7 @@
 
   /** Whether the connection is new or is not known to be closed. */
   get usable(): boolean {
-    return this.state === 'new' || this.connection?.usable === true;
+    return this.state === 'new' || this.connection?.isUsable === true;
   }
 
   /** Whether the task was closed, also while its connection was opening. */
--- a/packages/entry/src/caller/connection_task.ts
+++ b/packages/entry/src/caller/connection_task.ts
@@ -44,11 +44,11 @@
   | {readonly kind: 'closed'};
 
 /** The pipelines and collaborators that all connections of a VM share. */
-export interface ConnectionTools {
+export interface ConnectionDependencies {
   readonly parse: Pipeline<ReceivedStatement, ParsedStatement, Refusal>;
   readonly route: Pipeline<ParsedStatement, RoutedStatement, Refusal>;
   readonly execute: Pipeline<RoutedStatement, StatementReply, Refusal>;
-  readonly executors: ExecutorLookup;
+  readonly findExecutor: ExecutorLookup;
   /** Undefined until the first configuration is applied. */
   readonly context: () => StatementContext | undefined;
   /** How long a transaction may stay idle before it is rolled back. */
@@ -88,7 +88,7 @@
   constructor(
     raw: RawServerConnection,
     id: number,
-    private readonly deps: ConnectionTools,
+    private readonly deps: ConnectionDependencies,
     private readonly onClosed: () => void,
   ) {
     super();
@@ -148,7 +148,10 @@
         detail: 'this VM takes no new connections',
       });
     }
-    const caller = authenticateCaller(req, context.current.configuration);
+    const caller = authenticateCaller(
+      req,
+      context.activeConfiguration.configuration,
+    );
     if (!caller.ok) return toClientError(caller.err);
     this.caller = caller.value;
     this.databaseName = req.database;
@@ -165,7 +168,7 @@
     const {caller} = this;
     const granted =
       caller.kind === 'anonymous' ||
-      context.current.configuration.workspaces.some(
+      context.activeConfiguration.configuration.workspaces.some(
         item =>
           item.name === caller.workspace &&
           item.keys.some(key => key.id === caller.keyId),
@@ -182,7 +185,7 @@
 
   /** Closes the connection. A request already on its way gets the refusal. */
   private closeWith(refusal: Refusal): void {
-    this.connection.closeWith(toClientError(refusal));
+    this.connection.closeWithError(toClientError(refusal));
   }
 
   /**
@@ -292,7 +295,7 @@
         detail: 'a transaction cannot span databases',
       });
     }
-    const executor = this.deps.executors(statement.database);
+    const executor = this.deps.findExecutor(statement.database);
     const begun = await executor?.begin({
       ...statement,
       changesData: true,
@@ -379,7 +382,7 @@
   }
 
   private token(statement: ParsedStatement): string {
-    const {configuration} = statement.context.current;
+    const {configuration} = statement.context.activeConfiguration;
     return sessionTokenOf(this.caller, this.seen, configuration);
   }
 
--- a/packages/entry/src/configuration/__tests__/configuration_task.test.ts
+++ b/packages/entry/src/configuration/__tests__/configuration_task.test.ts
@@ -1,4 +1,4 @@
-import {hashOf, ok, fail} from '@pistachiorill/core';
+import {documentHashOf, ok, fail} from '@pistachiorill/core';
 import type {ConfigurationVersion} from '@pistachiorill/core';
 import {ObjectStore, TableService} from '@pistachiorill/store';
 import type {Logger} from '@pistachiorill/telemetry';
@@ -59,7 +59,7 @@
   known: ConfigurationVersion | undefined;
   readonly bodies = new Map<string, string>();
 
-  override async current() {
+  override async fetchLatestVersion() {
     return this.known;
   }
   override async body(hash: string) {
@@ -85,8 +85,8 @@
 
   /** Stores a document and the row that refers to it. */
   store(version: number, body: string): void {
-    this.table.row = {version, hash: hashOf(body)};
-    this.objects.bodies.set(`document/${hashOf(body)}`, body);
+    this.table.row = {version, hash: documentHashOf(body)};
+    this.objects.bodies.set(`document/${documentHashOf(body)}`, body);
   }
 
   /** Waits until all messages are handled; returns the applied versions. */
@@ -106,7 +106,7 @@
     return this.settle();
   }
 
-  async announce(version: number, body: string, hash = hashOf(body)) {
+  async announce(version: number, body: string, hash = documentHashOf(body)) {
     this.task.tell({kind: 'announced', document: {version, hash, body}});
     return this.settle();
   }
@@ -123,7 +123,7 @@
   steps.push(await vm.announce(3, THREE));
   steps.push(await vm.poll());
   steps.push(await vm.announce(1, ONE));
-  steps.push(await vm.announce(4, ONE, hashOf(TWO)));
+  steps.push(await vm.announce(4, ONE, documentHashOf(TWO)));
   expect(steps).toEqual([[2], [2, 3], [2, 3], [2, 3], [2, 3]]);
 });
 
@@ -132,9 +132,9 @@
   vm = new FakeVm();
   vm.table.row = 'down';
   const steps = [await vm.poll()];
-  vm.peers.known = {version: 4, hash: hashOf(ONE)};
+  vm.peers.known = {version: 4, hash: documentHashOf(ONE)};
   steps.push(await vm.poll());
-  vm.peers.bodies.set(hashOf(ONE), ONE);
+  vm.peers.bodies.set(documentHashOf(ONE), ONE);
   steps.push(await vm.poll());
   expect(steps).toEqual([[], [], [4]]);
 });
@@ -148,9 +148,9 @@
   const steps = [await vm.poll()];
   vm.table.row = 'down';
   steps.push(await vm.reportVersion(2));
-  vm.peers.known = {version: 2, hash: hashOf(TWO)};
+  vm.peers.known = {version: 2, hash: documentHashOf(TWO)};
   steps.push(await vm.poll());
-  vm.peers.bodies.set(hashOf(TWO), TWO);
+  vm.peers.bodies.set(documentHashOf(TWO), TWO);
   steps.push(await vm.poll());
   steps.push(await vm.reportVersion(1));
   expect(steps).toEqual([[1], [1], [1], [1, 2], [1, 2]]);
@@ -162,8 +162,8 @@
   vm.store(1, ONE);
   const steps = [await vm.poll()];
   vm.store(2, TWO);
-  vm.objects.bodies.set(`document/${hashOf(TWO)}`, 'damaged');
-  vm.peers.bodies.set(hashOf(TWO), 'damaged too');
+  vm.objects.bodies.set(`document/${documentHashOf(TWO)}`, 'damaged');
+  vm.peers.bodies.set(documentHashOf(TWO), 'damaged too');
   steps.push(await vm.poll());
   vm.store(3, '[nonsense]');
   steps.push(await vm.poll());
--- a/packages/entry/src/configuration/configuration_task.ts
+++ b/packages/entry/src/configuration/configuration_task.ts
@@ -2,7 +2,7 @@
   configurationKey,
   decodeConfigurationRow,
   documentName,
-  hashOf,
+  documentHashOf,
   ledgerKey,
   nextConfiguration,
 } from '@pistachiorill/core';
@@ -47,7 +47,7 @@
   | {readonly kind: 'announced'; readonly document: AppliedDocument};
 
 /** The collaborators of the configuration task. */
-export interface ConfigurationTools {
+export interface ConfigurationDependencies {
   readonly environment: Environment;
   readonly table: TableService;
   readonly objects: ObjectStore;
@@ -75,7 +75,7 @@
   private rejectedVersion = 0;
   private timer: NodeJS.Timeout | undefined;
 
-  constructor(private readonly deps: ConfigurationTools) {
+  constructor(private readonly deps: ConfigurationDependencies) {
     super();
   }
 
@@ -142,7 +142,7 @@
       );
     } else if (!row.ok && this.state() === 'behind') {
       // Without peers, a VM that starts during an outage could not serve.
-      this.considerVersion(await peers.current());
+      this.considerVersion(await peers.fetchLatestVersion());
     }
     await this.fetchPending();
   }
@@ -156,7 +156,7 @@
     this.considerVersion(document);
     const {pending} = this;
     if (pending?.hash !== document.hash) return;
-    if (hashOf(document.body) === pending.hash) {
+    if (documentHashOf(document.body) === pending.hash) {
       this.apply(pending, document.body);
     }
   }
@@ -174,14 +174,14 @@
     const {objects, peers, log} = this.deps;
     const stored = await objects.get(documentName(hash));
     if (stored.ok && stored.value !== undefined) {
-      if (hashOf(stored.value) === hash) return stored.value;
+      if (documentHashOf(stored.value) === hash) return stored.value;
       log.error(
         {event: 'configuration.corrupt', hash},
         'document in the store does not match its hash',
       );
     }
     const body = await peers.body(hash);
-    if (body === undefined || hashOf(body) === hash) return body;
+    if (body === undefined || documentHashOf(body) === hash) return body;
     log.error(
       {event: 'configuration.corrupt', hash},
       'document from a peer does not match its hash',
--- a/packages/entry/src/configuration/member_configuration_peers.ts
+++ b/packages/entry/src/configuration/member_configuration_peers.ts
@@ -1,18 +1,18 @@
 import type {ConfigurationVersion, Random} from '@pistachiorill/core';
-import type {ConfigurationAnswer} from '@pistachiorill/peers';
+import type {ConfigurationResponse} from '@pistachiorill/peers';
 import type {MembershipView} from '../membership/membership_view.js';
-import {PeerClients} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_clients.js';
 import {ConfigurationPeers} from './configuration_peers.js';
 
 /** Peers asked at once; one that is reachable and up to date is enough. */
 const MAX_ASKED_PEERS = 3;
 const REQUEST_TIMEOUT_MS = 500;
 
-type FoundAnswer = Extract<ConfigurationAnswer, {kind: 'found'}>;
+type FoundAnswer = Extract<ConfigurationResponse, {kind: 'found'}>;
 
 /** Asks up to three random VMs that are alive, suspect or only listed. */
-export class MemberConfigurationPeers extends ConfigurationPeers {
-  private readonly clients = new PeerClients();
+export class FleetConfigurationPeers extends ConfigurationPeers {
+  private readonly clients = new PeerClientCache();
   private addresses: readonly string[] = [];
 
   constructor(private readonly random: Random) {
@@ -20,17 +20,19 @@
   }
 
   /** Updates the VMs that may be asked. */
-  viewChanged(view: MembershipView): void {
+  applyMembership(view: MembershipView): void {
     this.addresses = [
       ...view.peers
         .filter(({state}) => state === 'alive' || state === 'suspect')
         .map(({peer}) => peer.address),
       ...view.candidates.map(peer => peer.address),
     ];
-    this.clients.retain(new Set(this.addresses));
+    this.clients.retainOnly(new Set(this.addresses));
   }
 
-  override async current(): Promise<ConfigurationVersion | undefined> {
+  override async fetchLatestVersion(): Promise<
+    ConfigurationVersion | undefined
+  > {
     const found = await this.askPeers(undefined);
     return found.sort((a, b) => b.version - a.version)[0];
   }
@@ -55,7 +57,7 @@
     const answers = await Promise.all(
       chosen.map(address =>
         this.clients
-          .to(address)
+          .clientFor(address)
           .configuration(req, {timeoutMs: REQUEST_TIMEOUT_MS}),
       ),
     );
--- a/packages/entry/src/daemon/create_owned_group.ts
+++ b/packages/entry/src/daemon/create_owned_group.ts
@@ -22,15 +22,17 @@
 import type {OwnedGroup} from '../routing/group_directory.js';
 
 /** The collaborators of the tasks of an owned group. */
-export interface OwnedGroupTools {
+export interface OwnedGroupDependencies {
   readonly settings: ProcessSettings;
   readonly table: TableService;
   readonly clock: Clock;
   readonly log: Logger;
   /** Authenticates a statement again, if needed, before it is sent. */
-  readonly recheck: (statement: RoutedStatement) => Result<unknown, Refusal>;
+  readonly reauthenticate: (
+    statement: RoutedStatement,
+  ) => Result<unknown, Refusal>;
   /** Returns how many connections this VM may open to a backend server. */
-  readonly allowanceOf: (server: BackendServer) => number;
+  readonly connectionAllowanceOf: (server: BackendServer) => number;
   /** Sends a failover report to the other VMs that own the group. */
   readonly sendReport: (report: FailoverReport) => void;
   /** Adds a change to the audit trail. */
@@ -42,14 +44,14 @@
 /** Creates the tasks of a group that this VM owns, that is, connects to. */
 export function createOwnedGroup(
   database: string,
-  deps: OwnedGroupTools,
+  deps: OwnedGroupDependencies,
 ): OwnedGroup {
   const {policy} = deps.settings;
   const task = createGroupTask(database, deps);
   const executor = new LocalExecutor(
     task,
     deps.clock,
-    deps.recheck,
+    deps.reauthenticate,
     policy.acknowledge === 'at-primary'
       ? new AtPrimaryAcknowledgementPolicy()
       : new RouteAcknowledgementPolicy(),
@@ -59,7 +61,12 @@
 
 function createGroupTask(
   database: string,
-  {settings, clock, log, allowanceOf}: OwnedGroupTools,
+  {
+    settings,
+    clock,
+    log,
+    connectionAllowanceOf: allowanceOf,
+  }: OwnedGroupDependencies,
 ): GroupTask {
   const {backend, policy} = settings;
   const localAddress = backend.local_address;
@@ -88,7 +95,7 @@
 function createFailoverTask(
   database: string,
   group: GroupTask,
-  {settings, table, clock, log, sendReport, record}: OwnedGroupTools,
+  {settings, table, clock, log, sendReport, record}: OwnedGroupDependencies,
 ): FailoverTask {
   const {name: vm, data_centre: dataCentre} = settings.vm;
   const moveGraceMs = settings.limits.transaction_idle_ms;
--- a/packages/entry/src/daemon/entry_daemon.ts
+++ b/packages/entry/src/daemon/entry_daemon.ts
@@ -32,21 +32,21 @@
 import {AuditTask, Metrics, createLogger} from '@pistachiorill/telemetry';
 import type {AuditEntry, Logger} from '@pistachiorill/telemetry';
 import {ConnectionTask} from '../caller/connection_task.js';
-import type {ConnectionTools} from '../caller/connection_task.js';
+import type {ConnectionDependencies} from '../caller/connection_task.js';
 import {ExecuteFilter} from '../caller/execute_filter.js';
 import type {ExecutorLookup} from '../caller/execute_filter.js';
 import {ConfigurationTask} from '../configuration/configuration_task.js';
 import type {AppliedDocument} from '../configuration/configuration_task.js';
-import {MemberConfigurationPeers} from '../configuration/member_configuration_peers.js';
+import {FleetConfigurationPeers} from '../configuration/member_configuration_peers.js';
 import {groupStatus} from '../http/group_status.js';
 import {StatusServer} from '../http/status_server.js';
 import {LifecycleTask} from '../lifecycle/lifecycle_task.js';
 import {NO_PAYLOADS} from '../membership/gossip_payloads.js';
 import type {MembershipView} from '../membership/membership_view.js';
-import {QuotaPart} from '../quota/quota_part.js';
+import {QuotaSubsystem} from '../quota/quota_part.js';
 import {GroupDirectory} from '../routing/group_directory.js';
 import {createOwnedGroup} from './create_owned_group.js';
-import {PeerPart} from './peer_part.js';
+import {PeerSubsystem} from './peer_part.js';
 
 /** Limits the wait for an unavailable store when the VM stops. */
 const FINAL_FLUSH_TIMEOUT_MS = 1_000;
@@ -63,15 +63,15 @@
   private readonly metrics = new Metrics();
   private readonly authenticate = new AuthenticateFilter();
   private readonly configuration: ConfigurationTask;
-  private readonly configurationPeers: MemberConfigurationPeers;
+  private readonly configurationPeers: FleetConfigurationPeers;
   private readonly lifecycle: LifecycleTask;
   private readonly audit: AuditTask;
   private readonly server: MysqlServer;
   private readonly status: StatusServer;
   private readonly connections = new Set<ConnectionTask>();
   private readonly table: TableService;
-  private readonly peers: PeerPart;
-  private readonly quota: QuotaPart;
+  private readonly peers: PeerSubsystem;
+  private readonly quota: QuotaSubsystem;
   private readonly groups: GroupDirectory;
   private current: VersionedConfiguration | undefined;
   /** The applied document, served to peers that cannot read the store. */
@@ -97,7 +97,7 @@
       onBuffered: entries => this.metrics.auditBuffered.set(entries),
       onFault: err => this.log.error({event: 'audit.failed', err}, 'audit'),
     });
-    this.configurationPeers = new MemberConfigurationPeers(random);
+    this.configurationPeers = new FleetConfigurationPeers(random);
     this.configuration = new ConfigurationTask({
       environment: vm.environment,
       table: this.table,
@@ -106,7 +106,7 @@
       onApplied: (current, body) => this.apply(current, body),
       onRead: read => {
         this.metrics.configurationReadTime.setToCurrentTime();
-        this.peers.versionsRead(read);
+        this.peers.recordVersionRead(read);
       },
       clock: this.clock,
       log: this.log,
@@ -118,7 +118,7 @@
       onFault: err =>
         this.log.error({event: 'lifecycle.failed', err}, 'lifecycle'),
     });
-    this.peers = new PeerPart({
+    this.peers = new PeerSubsystem({
       settings,
       list: new HttpVmList(endpoint),
       clock: this.clock,
@@ -134,19 +134,19 @@
           this.configuration.tell({kind: 'announced', document});
         },
         ledger: req => this.quota.ledgerRow(req),
-        loan: req => this.quota.lend(req),
-        report: report => this.groups.reported(report),
+        loan: req => this.quota.handleLoanRequest(req),
+        report: report => this.groups.passOnReport(report),
       },
       onView: view => this.viewChanged(view),
       onListed: vms => this.lifecycle.tell({kind: 'listed', vms}),
       local: database => this.groups.local(database),
       context: () => this.context(),
     });
-    this.quota = new QuotaPart({
+    this.quota = new QuotaSubsystem({
       self: this.peers.self,
       ledgerKey: ledgerKey(settings.vm.environment),
       table: this.table,
-      learn: event => this.peers.learn(event),
+      updateAuthority: event => this.peers.updateAuthority(event),
       activity: () => this.activity,
       record: (change, operationId) => this.record(change, operationId),
       clock: this.clock,
@@ -161,8 +161,9 @@
           table: this.table,
           clock: this.clock,
           log: this.log,
-          recheck: statement => this.recheck(statement),
-          allowanceOf: server => this.groups.allowance(database, server),
+          reauthenticate: statement => this.recheck(statement),
+          connectionAllowanceOf: server =>
+            this.groups.connectionAllowanceFor(database, server),
           sendReport: report =>
             this.peers.sendReport(report, this.groups.otherOwners(database)),
           record: change => this.record(change),
@@ -210,7 +211,7 @@
     this.server.close();
     await this.peers.leave();
     await this.waitUntilIdle(this.clock() + this.settings.limits.grace_ms);
-    await this.quota.leave();
+    await this.quota.returnShare();
     await this.quota.stop();
     await this.configuration.stop();
     await this.peers.stop();
@@ -243,10 +244,10 @@
     }
   }
 
-  private connectionDeps(): ConnectionTools {
+  private connectionDeps(): ConnectionDependencies {
     const {clock} = this;
     const executors: ExecutorLookup = database =>
-      this.groups.executor(database);
+      this.groups.executorFor(database);
     return {
       parse: Pipeline.of(
         new AcceptFilter(this.settings.limits.statement_bytes),
@@ -256,7 +257,7 @@
         .then(new ParseOptionsFilter()),
       route: Pipeline.of(new MatchRouteFilter(), clock).then(this.quota.filter),
       execute: Pipeline.of(new ExecuteFilter(executors), clock),
-      executors,
+      findExecutor: executors,
       context: () => this.context(),
       transactionIdleMs: this.settings.limits.transaction_idle_ms,
       clock,
@@ -268,7 +269,7 @@
   private context(): StatementContext | undefined {
     if (!this.current) return undefined;
     return {
-      current: this.current,
+      activeConfiguration: this.current,
       confirmation: this.peers.confirmation,
       lifecycle: this.currentLifecycle(),
     };
@@ -286,7 +287,10 @@
     this.metrics.configurationVersion.set(version);
     this.groups.configure(configuration);
     this.quota.configure(configuration);
-    this.peers.learn({kind: 'applied', versions: {configuration: version}});
+    this.peers.updateAuthority({
+      kind: 'applied',
+      versions: {configuration: version},
+    });
     this.record({
       action: 'configuration-applied',
       subject: `configuration/${this.settings.vm.environment}`,
@@ -314,12 +318,12 @@
       before: before.join(', ') || 'serving',
       after: reasons.join(', ') || 'serving',
     });
-    this.quota.lifecycleChanged(isDraining ? 'draining' : 'serving');
+    this.quota.applyLifecycle(isDraining ? 'draining' : 'serving');
     // Only a VM that the platform lists as leaving leaves the fleet. A VM in a
     // data centre that is out of service may return, so its peers keep it.
     const isListed = reasons.includes('listed-leaving');
     if (isListed && !before.includes('listed-leaving')) void this.peers.leave();
-    if (!isListed && before.includes('listed-leaving')) this.peers.return();
+    if (!isListed && before.includes('listed-leaving')) this.peers.rejoin();
     this.notifyContextChanged();
   }
 
@@ -358,14 +362,14 @@
   }
 
   private viewChanged(view: MembershipView): void {
-    this.groups.viewChanged(view);
-    this.configurationPeers.viewChanged(view);
+    this.groups.applyMembership(view);
+    this.configurationPeers.applyMembership(view);
     if (view.known.configuration > this.reportedConfigurationVersion) {
       this.reportedConfigurationVersion = view.known.configuration;
       const {reportedConfigurationVersion: version} = this;
       this.configuration.tell({kind: 'version-reported', version});
     }
-    this.quota.viewChanged(view);
+    this.quota.applyMembership(view);
   }
 
   /**
@@ -374,10 +378,10 @@
    */
   private recheck(statement: RoutedStatement): Result<unknown, Refusal> {
     const context = this.context();
-    const {current, confirmation} = statement.context;
+    const {activeConfiguration: current, confirmation} = statement.context;
     const isUnchanged =
       !context ||
-      (context.current.version === current.version &&
+      (context.activeConfiguration.version === current.version &&
         context.confirmation === confirmation);
     if (isUnchanged) return ok(statement);
     return this.authenticate.run({...statement, context});
--- a/packages/entry/src/daemon/peer_part.ts
+++ b/packages/entry/src/daemon/peer_part.ts
@@ -8,32 +8,32 @@
   StatementContext,
 } from '@pistachiorill/core';
 import type {ProcessSettings} from '@pistachiorill/document';
-import {PeerServer, servedPeers} from '@pistachiorill/peers';
+import {PeerServer, servedPeerRouter} from '@pistachiorill/peers';
 import type {ListedVm, VmList} from '@pistachiorill/store';
 import {ask} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
 import type {VersionRead} from '../configuration/configuration_task.js';
-import type {ForwardTools} from '../forward/forward_tools.js';
+import type {ForwardingDependencies} from '../forward/forward_tools.js';
 import {KeepAliveTask} from '../forward/keep_alive_task.js';
 import {OwnerTask} from '../forward/owner_task.js';
-import {PeerOwnerCalls} from '../forward/owner_calls.js';
+import {TrpcOwnerClient} from '../forward/owner_calls.js';
 import type {OwnerTarget} from '../forward/owner_calls.js';
 import type {GroupExecutor} from '../group/group_executor.js';
 import type {GossipPayloads} from '../membership/gossip_payloads.js';
 import {MembershipTask} from '../membership/membership_task.js';
 import type {MembershipView} from '../membership/membership_view.js';
 import {EntryPeerHandlers} from '../peers/entry_peer_handlers.js';
-import type {PeerServices} from '../peers/entry_peer_handlers.js';
+import type {PeerRequestHandlers} from '../peers/entry_peer_handlers.js';
 
 /** The collaborators of the peer subsystem. */
-export interface PeerPartTools {
+export interface PeerSubsystemDependencies {
   readonly settings: ProcessSettings;
   readonly list: VmList;
   readonly clock: Clock;
   readonly log: Logger;
   readonly payloads: GossipPayloads;
-  readonly services: PeerServices;
+  readonly services: PeerRequestHandlers;
   readonly onView: (view: MembershipView) => void;
   readonly onListed: (vms: readonly ListedVm[]) => void;
   /** Returns the executor of a database whose group this VM owns. */
@@ -46,18 +46,18 @@
  * Wires the tasks that talk to other VMs: membership, forwarding to the owner
  * of a group, and the server for requests of peers.
  */
-export class PeerPart {
+export class PeerSubsystem {
   readonly self: PeerRecord;
   /** What is needed to forward statements to the owners of a group. */
-  readonly forward: ForwardTools;
-  private readonly calls = new PeerOwnerCalls();
+  readonly forward: ForwardingDependencies;
+  private readonly calls = new TrpcOwnerClient();
   private readonly keepAlive: KeepAliveTask;
   private readonly membership: MembershipTask;
   private readonly owner: OwnerTask;
   private readonly server: PeerServer;
   private confirmedUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly deps: PeerPartTools) {
+  constructor(private readonly deps: PeerSubsystemDependencies) {
     const {settings, clock, log} = deps;
     const onFault = (err: unknown): void => {
       log.error({event: 'peers.failed', err}, 'peer task or server failed');
@@ -69,7 +69,7 @@
       instance: randomUUID(),
     };
     this.keepAlive = new KeepAliveTask(this.calls, onFault);
-    this.forward = {calls: this.calls, keepAlive: this.keepAlive, clock};
+    this.forward = {ownerClient: this.calls, keepAlive: this.keepAlive, clock};
     this.membership = new MembershipTask({
       self: this.self,
       incarnation: Date.now(),
@@ -91,7 +91,7 @@
       onFault,
     });
     this.server = new PeerServer(
-      servedPeers(
+      servedPeerRouter(
         new EntryPeerHandlers(this.membership, this.owner, deps.services),
       ),
       onFault,
@@ -117,15 +117,20 @@
   }
 
   /** Passes the row versions of a poll of the store to the membership task. */
-  versionsRead(read: VersionRead): void {
+  recordVersionRead(read: VersionRead): void {
     for (const row of ['configuration', 'ledger'] as const) {
       const {startedAt} = read;
-      this.learn({kind: 'row-read', row, version: read[row], startedAt});
+      this.updateAuthority({
+        kind: 'row-read',
+        row,
+        version: read[row],
+        startedAt,
+      });
     }
   }
 
   /** Passes on other authority events, such as a version coming into force. */
-  learn(event: AuthorityEvent): void {
+  updateAuthority(event: AuthorityEvent): void {
     this.membership.tell({kind: 'authority', event});
   }
 
@@ -135,7 +140,7 @@
   }
 
   /** Announces that this VM accepts work again after it left. */
-  return(): void {
+  rejoin(): void {
     this.membership.tell({kind: 'return'});
   }
 
--- a/packages/entry/src/failover/failover_task.ts
+++ b/packages/entry/src/failover/failover_task.ts
@@ -20,7 +20,10 @@
 import type {Logger} from '@pistachiorill/telemetry';
 import type {GroupObservation} from '../group/group_message.js';
 import type {GroupTask} from '../group/group_task.js';
-import type {ControlCall, ControlResult} from '../group/member_control_task.js';
+import type {
+  MemberControlCall,
+  MemberControlResult,
+} from '../group/member_control_task.js';
 
 const IDLE_TICK_MS = 250;
 /** Used during an attempt and while this VM's report is not clear. */
@@ -44,7 +47,7 @@
 >;
 
 /** The collaborators of a failover task. */
-export interface FailoverTools {
+export interface FailoverDependencies {
   readonly group: GroupTask;
   /** The store's table, which holds the row of the attempts. */
   readonly table: TableService;
@@ -74,7 +77,7 @@
 
   constructor(
     private readonly identity: FailoverIdentity,
-    private readonly deps: FailoverTools,
+    private readonly deps: FailoverDependencies,
   ) {
     super();
     // Each process has its own owner ID, so a restarted VM never repeats a call
@@ -178,9 +181,9 @@
 
   private async call(
     backendServer: string,
-    call: ControlCall,
+    call: MemberControlCall,
   ): Promise<AttemptEvent> {
-    const result = await ask<ControlResult>(reply =>
+    const result = await ask<MemberControlResult>(reply =>
       this.deps.group.tell({kind: 'control', backendServer, call, reply}),
     );
     const {kind, term} = call;
@@ -229,7 +232,7 @@
   }
 }
 
-function outcomeOf(result: ControlResult): CallOutcome {
+function outcomeOf(result: MemberControlResult): CallOutcome {
   if (result.ok) return {kind: 'done', received: result.value.received};
   const isRefused =
     result.err.kind === 'statement-error' ||
--- a/packages/entry/src/forward/__tests__/fakes.ts
+++ b/packages/entry/src/forward/__tests__/fakes.ts
@@ -7,9 +7,9 @@
   StatementContext,
   StatementReply,
 } from '@pistachiorill/core';
-import type {ForwardAnswer, PeerError} from '@pistachiorill/peers';
+import type {ForwardResponse, PeerError} from '@pistachiorill/peers';
 import {GroupExecutor, TransactionHandle} from '../../group/group_executor.js';
-import {OwnerCalls} from '../owner_calls.js';
+import {OwnerClient} from '../owner_calls.js';
 import type {OwnerTarget} from '../owner_calls.js';
 
 /** The context of a VM that serves. */
@@ -51,7 +51,7 @@
 };
 
 /** `REPLY` as an owner sends it. */
-export const DONE: ForwardAnswer = {
+export const DONE: ForwardResponse = {
   ok: true,
   value: {
     result: {kind: 'rows', columns: [], rows: [['AP8=', null]]},
@@ -67,7 +67,7 @@
   'unreachable' | 'no-answer' | 'done' | Refusal['kind'];
 
 /** Logs the calls to owners and answers them in order from a script. */
-export class ScriptedCalls extends OwnerCalls {
+export class ScriptedOwnerClient extends OwnerClient {
   readonly log: string[] = [];
 
   constructor(private readonly script: ScriptedAnswer[]) {
@@ -107,7 +107,7 @@
   private next(
     call: string,
     owner: OwnerTarget,
-  ): Result<ForwardAnswer, PeerError> {
+  ): Result<ForwardResponse, PeerError> {
     const answer = this.script.shift() ?? 'done';
     this.log.push(`${call} ${owner.vm}: ${answer}`);
     if (answer === 'unreachable' || answer === 'no-answer') {
--- a/packages/entry/src/forward/__tests__/forwarding_executor.test.ts
+++ b/packages/entry/src/forward/__tests__/forwarding_executor.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, it} from 'vitest';
 import {ForwardingExecutor} from '../forwarding_executor.js';
 import type {OwnerTarget} from '../owner_calls.js';
-import {REPLY, ScriptedCalls, statementOf} from './fakes.js';
+import {REPLY, ScriptedOwnerClient, statementOf} from './fakes.js';
 import type {ScriptedAnswer} from './fakes.js';
 
 const OWNERS: OwnerTarget[] = ['a', 'b'].map(vm => ({
@@ -17,9 +17,9 @@
 const READ: Partial<Route> = {access: 'read'};
 
 function setup(script: ScriptedAnswer[]) {
-  const calls = new ScriptedCalls(script);
+  const calls = new ScriptedOwnerClient(script);
   const executor = new ForwardingExecutor('d', () => OWNERS, {
-    calls,
+    ownerClient: calls,
     keepAlive: {
       tell: message => {
         calls.log.push(`keep-alive ${message.kind}`);
--- a/packages/entry/src/forward/__tests__/owner_task.test.ts
+++ b/packages/entry/src/forward/__tests__/owner_task.test.ts
@@ -1,6 +1,6 @@
 import type {StatementContext} from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
-import type {BeginAnswer, ForwardAnswer} from '@pistachiorill/peers';
+import type {BeginResponse, ForwardResponse} from '@pistachiorill/peers';
 import {afterEach, describe, expect, it} from 'vitest';
 import {KEEP_ALIVE_TIMEOUT_MS, OwnerTask} from '../owner_task.js';
 import {encodeStatement} from '../wire_statement.js';
@@ -26,11 +26,11 @@
       },
     });
     tasks.push(task);
-    const begin = (): Promise<BeginAnswer> =>
+    const begin = (): Promise<BeginResponse> =>
       ask(reply =>
         task.tell({kind: 'begin', req: {statement: STATEMENT}, reply}),
       );
-    const forward = (database: string): Promise<ForwardAnswer> =>
+    const forward = (database: string): Promise<ForwardResponse> =>
       ask(reply =>
         task.tell({
           kind: 'forward',
@@ -38,7 +38,7 @@
           reply,
         }),
       );
-    const executeIn = (transaction: string): Promise<ForwardAnswer> =>
+    const executeIn = (transaction: string): Promise<ForwardResponse> =>
       ask(reply =>
         task.tell({
           kind: 'execute-in',
@@ -46,7 +46,7 @@
           reply,
         }),
       );
-    const commit = (transaction: string): Promise<ForwardAnswer> =>
+    const commit = (transaction: string): Promise<ForwardResponse> =>
       ask(reply =>
         task.tell({
           kind: 'commit',
@@ -57,7 +57,7 @@
     return {executor, time, task, begin, forward, executeIn, commit};
   }
 
-  async function open(begin: () => Promise<BeginAnswer>): Promise<string> {
+  async function open(begin: () => Promise<BeginResponse>): Promise<string> {
     const begun = await begin();
     if (!begun.ok) throw new Error(begun.err.kind);
     return begun.transaction;
--- a/packages/entry/src/forward/forward_tools.ts
+++ b/packages/entry/src/forward/forward_tools.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@pistachiorill/tasks';
 import type {KeepAliveTask} from './keep_alive_task.js';
-import type {OwnerCalls} from './owner_calls.js';
+import type {OwnerClient} from './owner_calls.js';
 
 /**
  * Extra time to wait after the deadline, so that a refusal that the owner sends
@@ -9,8 +9,8 @@
 export const ANSWER_GRACE_MS = 100;
 
 /** The collaborators that all forwarding executors of a VM share. */
-export interface ForwardTools {
-  readonly calls: OwnerCalls;
+export interface ForwardingDependencies {
+  readonly ownerClient: OwnerClient;
   readonly keepAlive: Pick<KeepAliveTask, 'tell'>;
   readonly clock: Clock;
 }
--- a/packages/entry/src/forward/forwarded_transaction.ts
+++ b/packages/entry/src/forward/forwarded_transaction.ts
@@ -7,7 +7,7 @@
 } from '@pistachiorill/core';
 import {TransactionHandle} from '../group/group_executor.js';
 import {ANSWER_GRACE_MS} from './forward_tools.js';
-import type {ForwardTools} from './forward_tools.js';
+import type {ForwardingDependencies} from './forward_tools.js';
 import type {OwnerTarget} from './owner_calls.js';
 import {decodeAnswer} from './wire_reply.js';
 import {encodeStatement} from './wire_statement.js';
@@ -22,7 +22,7 @@
   constructor(
     private readonly id: string,
     private readonly owner: OwnerTarget,
-    private readonly deps: ForwardTools,
+    private readonly deps: ForwardingDependencies,
   ) {
     super();
     deps.keepAlive.tell({kind: 'opened', transaction: id, owner});
@@ -36,7 +36,7 @@
   override async execute(
     statement: RoutedStatement,
   ): Promise<Result<StatementReply, Refusal>> {
-    const {calls, clock} = this.deps;
+    const {ownerClient: calls, clock} = this.deps;
     const wire = encodeStatement(statement, clock());
     const answer = await calls.executeIn(
       this.owner,
@@ -59,7 +59,7 @@
   override async commit(
     deadline: number,
   ): Promise<Result<StatementReply, Refusal>> {
-    const {calls, clock} = this.deps;
+    const {ownerClient: calls, clock} = this.deps;
     const remainingMs = Math.max(1, deadline - clock());
     const answer = await calls.commit(
       this.owner,
@@ -81,7 +81,11 @@
     if (this.state === 'ended') return;
     this.end();
     // If the call fails, the owner rolls back when the keep-alives time out.
-    await this.deps.calls.rollback(this.owner, this.id, ROLLBACK_TIMEOUT_MS);
+    await this.deps.ownerClient.rollback(
+      this.owner,
+      this.id,
+      ROLLBACK_TIMEOUT_MS,
+    );
   }
 
   private end(): void {
--- a/packages/entry/src/forward/forwarding_executor.ts
+++ b/packages/entry/src/forward/forwarding_executor.ts
@@ -10,7 +10,7 @@
 import type {TransactionHandle} from '../group/group_executor.js';
 import {ForwardedTransaction} from './forwarded_transaction.js';
 import {ANSWER_GRACE_MS} from './forward_tools.js';
-import type {ForwardTools} from './forward_tools.js';
+import type {ForwardingDependencies} from './forward_tools.js';
 import type {OwnerTarget} from './owner_calls.js';
 import {decodeAnswer} from './wire_reply.js';
 import {encodeStatement} from './wire_statement.js';
@@ -23,7 +23,7 @@
   constructor(
     private readonly database: string,
     private readonly targets: () => readonly OwnerTarget[],
-    private readonly deps: ForwardTools,
+    private readonly deps: ForwardingDependencies,
   ) {
     super();
   }
@@ -35,7 +35,7 @@
       statement,
       repeatabilityOf(statement),
       async (owner, timeoutMs) => {
-        const answer = await this.deps.calls.forward(
+        const answer = await this.deps.ownerClient.forward(
           owner,
           encodeStatement(statement, this.deps.clock()),
           timeoutMs,
@@ -56,7 +56,7 @@
       statement,
       'repeatable',
       async (owner, timeoutMs) => {
-        const answer = await this.deps.calls.begin(
+        const answer = await this.deps.ownerClient.begin(
           owner,
           encodeStatement(statement, this.deps.clock()),
           timeoutMs,
--- a/packages/entry/src/forward/keep_alive_task.ts
+++ b/packages/entry/src/forward/keep_alive_task.ts
@@ -1,5 +1,5 @@
 import {Task} from '@pistachiorill/tasks';
-import type {OwnerCalls, OwnerTarget} from './owner_calls.js';
+import type {OwnerClient, OwnerTarget} from './owner_calls.js';
 
 /** Interval between two keep-alives, and the time limit for each. */
 export const KEEP_ALIVE_INTERVAL_MS = 1_000;
@@ -23,7 +23,7 @@
   private readonly timer: NodeJS.Timeout;
 
   constructor(
-    private readonly calls: OwnerCalls,
+    private readonly calls: OwnerClient,
     private readonly onFault: (err: unknown) => void,
   ) {
     super();
--- a/packages/entry/src/forward/owner_calls.ts
+++ b/packages/entry/src/forward/owner_calls.ts
@@ -1,11 +1,11 @@
 import type {FailoverReport, OwnerView, Result} from '@pistachiorill/core';
 import type {
-  BeginAnswer,
-  ForwardAnswer,
+  BeginResponse,
+  ForwardResponse,
   PeerError,
   WireStatement,
 } from '@pistachiorill/peers';
-import {PeerClients} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_clients.js';
 
 /** Time limit for sending one failover report. */
 const REPORT_TIMEOUT_MS = 500;
@@ -16,20 +16,20 @@
 }
 
 /** The calls to owners of groups. Tests replace them with a fake. */
-export abstract class OwnerCalls {
+export abstract class OwnerClient {
   /** Executes an autocommit statement at the owner. */
   abstract forward(
     owner: OwnerTarget,
     statement: WireStatement,
     timeoutMs: number,
-  ): Promise<Result<ForwardAnswer, PeerError>>;
+  ): Promise<Result<ForwardResponse, PeerError>>;
 
   /** Opens a transaction at the owner. */
   abstract begin(
     owner: OwnerTarget,
     statement: WireStatement,
     timeoutMs: number,
-  ): Promise<Result<BeginAnswer, PeerError>>;
+  ): Promise<Result<BeginResponse, PeerError>>;
 
   /** Executes a statement in a transaction that the owner has open. */
   abstract executeIn(
@@ -37,7 +37,7 @@
     transaction: string,
     statement: WireStatement,
     timeoutMs: number,
-  ): Promise<Result<ForwardAnswer, PeerError>>;
+  ): Promise<Result<ForwardResponse, PeerError>>;
 
   /** Commits a transaction. The owner must finish within `remainingMs`. */
   abstract commit(
@@ -45,7 +45,7 @@
     transaction: string,
     remainingMs: number,
     timeoutMs: number,
-  ): Promise<Result<ForwardAnswer, PeerError>>;
+  ): Promise<Result<ForwardResponse, PeerError>>;
 
   /** Rolls a transaction back. */
   abstract rollback(
@@ -63,14 +63,14 @@
 }
 
 /** Calls the owners over tRPC. */
-export class PeerOwnerCalls extends OwnerCalls {
-  private readonly clients = new PeerClients();
+export class TrpcOwnerClient extends OwnerClient {
+  private readonly clients = new PeerClientCache();
 
   override forward(
     owner: OwnerTarget,
     statement: WireStatement,
     timeoutMs: number,
-  ): Promise<Result<ForwardAnswer, PeerError>> {
+  ): Promise<Result<ForwardResponse, PeerError>> {
     return this.to(owner).forward({statement}, {timeoutMs});
   }
 
@@ -78,7 +78,7 @@
     owner: OwnerTarget,
     statement: WireStatement,
     timeoutMs: number,
-  ): Promise<Result<BeginAnswer, PeerError>> {
+  ): Promise<Result<BeginResponse, PeerError>> {
     return this.to(owner).begin({statement}, {timeoutMs});
   }
 
@@ -87,7 +87,7 @@
     transaction: string,
     statement: WireStatement,
     timeoutMs: number,
-  ): Promise<Result<ForwardAnswer, PeerError>> {
+  ): Promise<Result<ForwardResponse, PeerError>> {
     return this.to(owner).executeIn({transaction, statement}, {timeoutMs});
   }
 
@@ -96,7 +96,7 @@
     transaction: string,
     remainingMs: number,
     timeoutMs: number,
-  ): Promise<Result<ForwardAnswer, PeerError>> {
+  ): Promise<Result<ForwardResponse, PeerError>> {
     return this.to(owner).commit({transaction, remainingMs}, {timeoutMs});
   }
 
@@ -127,6 +127,6 @@
   }
 
   private to(owner: OwnerTarget) {
-    return this.clients.to(owner.address);
+    return this.clients.clientFor(owner.address);
   }
 }
--- a/packages/entry/src/forward/owner_task.ts
+++ b/packages/entry/src/forward/owner_task.ts
@@ -7,11 +7,11 @@
   StatementReply,
 } from '@pistachiorill/core';
 import type {
-  BeginAnswer,
+  BeginResponse,
   BeginRequest,
   CommitRequest,
   ExecuteInRequest,
-  ForwardAnswer,
+  ForwardResponse,
   ForwardRequest,
 } from '@pistachiorill/peers';
 import {Task} from '@pistachiorill/tasks';
@@ -38,7 +38,7 @@
   lastActiveAt: number;
 }
 
-type ForwardReply = Reply<ForwardAnswer>;
+type ForwardReply = Reply<ForwardResponse>;
 
 /** Messages that an `OwnerTask` handles. */
 export type OwnerMessage =
@@ -50,14 +50,14 @@
   | {
       readonly kind: 'begin';
       readonly req: BeginRequest;
-      readonly reply: Reply<BeginAnswer>;
+      readonly reply: Reply<BeginResponse>;
     }
   /** The transaction of a `begin` was opened. */
   | {
       readonly kind: 'begun';
       readonly id: string;
       readonly handle: TransactionHandle;
-      readonly reply: Reply<BeginAnswer>;
+      readonly reply: Reply<BeginResponse>;
     }
   | {
       readonly kind: 'execute-in';
@@ -165,7 +165,7 @@
     this.run(executor.execute(statement), reply);
   }
 
-  private begin(req: BeginRequest, reply: Reply<BeginAnswer>): void {
+  private begin(req: BeginRequest, reply: Reply<BeginResponse>): void {
     const ready = this.admit(req.statement.database);
     if (!ready.ok) {
       reply.answer(ready);
--- a/packages/entry/src/forward/wire_reply.ts
+++ b/packages/entry/src/forward/wire_reply.ts
@@ -5,12 +5,12 @@
   StatementReply,
   StatementResult,
 } from '@pistachiorill/core';
-import type {ForwardAnswer, WireReply} from '@pistachiorill/peers';
+import type {ForwardResponse, WireReply} from '@pistachiorill/peers';
 
 /** Encodes the outcome of a forwarded statement; cells are sent as base64. */
 export function encodeAnswer(
   result: Result<StatementReply, Refusal>,
-): ForwardAnswer {
+): ForwardResponse {
   if (!result.ok) return result;
   const {seen, ...rest} = result.value;
   return {
@@ -25,7 +25,7 @@
 
 /** Decodes the outcome that an owner has sent. */
 export function decodeAnswer(
-  answer: ForwardAnswer,
+  answer: ForwardResponse,
 ): Result<StatementReply, Refusal> {
   if (!answer.ok) return fail(answer.err);
   const {seen, result, ...rest} = answer.value;
--- a/packages/entry/src/group/backend_refusal.ts
+++ b/packages/entry/src/group/backend_refusal.ts
@@ -2,7 +2,7 @@
 import type {BackendError} from '@pistachiorill/mysql';
 
 /** Converts an error of a backend connection into a refusal to the caller. */
-export function refusalOf(err: BackendError): Refusal {
+export function toRefusal(err: BackendError): Refusal {
   switch (err.kind) {
     case 'not-run':
       return {kind: 'no-member', detail: err.detail};
--- a/packages/entry/src/group/connection_pool.ts
+++ b/packages/entry/src/group/connection_pool.ts
@@ -3,7 +3,7 @@
   QueuePolicy,
   Refusal,
   Result,
-  ServiceEstimate,
+  ServiceTimeEstimate,
 } from '@pistachiorill/core';
 import type {Reply} from '@pistachiorill/tasks';
 import type {BackendTask} from '../backend/backend_task.js';
@@ -37,7 +37,7 @@
 /** Requests of one kind that wait, and the estimated time of a checkout. */
 interface CheckoutQueue {
   readonly queue: QueuePolicy<CheckoutReply>;
-  service: ServiceEstimate;
+  service: ServiceTimeEstimate;
 }
 
 /**
@@ -123,7 +123,7 @@
         return;
       }
     }
-    if (queue.enqueue({workspace, until, item: reply}) === 'full') {
+    if (queue.enqueue({workspace, deadline: until, item: reply}) === 'full') {
       refuseOverloaded(
         reply,
         'too many statements of the workspace are waiting',
--- a/packages/entry/src/group/group_message.ts
+++ b/packages/entry/src/group/group_message.ts
@@ -12,8 +12,8 @@
 import type {Reply} from '@pistachiorill/tasks';
 import type {BackendTask} from '../backend/backend_task.js';
 import type {
-  ControlCall,
-  ControlResult,
+  MemberControlCall,
+  MemberControlResult,
   PollReply,
 } from './member_control_task.js';
 
@@ -110,8 +110,8 @@
   | {
       readonly kind: 'control';
       readonly backendServer: string;
-      readonly call: ControlCall;
-      readonly reply: Reply<ControlResult>;
+      readonly call: MemberControlCall;
+      readonly reply: Reply<MemberControlResult>;
     }
   /** Checks for expired deadlines. */
   | {readonly kind: 'tick'}
--- a/packages/entry/src/group/group_task.ts
+++ b/packages/entry/src/group/group_task.ts
@@ -1,13 +1,13 @@
 import {
   DeficitRoundRobinPolicy,
   FifoPolicy,
-  HEALTHY,
-  MOVE_SETTLE_MS,
+  HEALTHY_MEMBER,
+  SWITCHOVER_SETTLE_MS,
   INITIAL_RETRY_BUDGET,
-  afterAttempt,
+  updateMemberHealth,
   currentPrimary,
   decideRetry,
-  earnRetry,
+  depositRetry,
   ejectedMembers,
   fail,
   proveSamples,
@@ -93,7 +93,7 @@
         this.release(message.backend, message.reuse);
         return;
       case 'request-started':
-        this.retryBudget = earnRetry(this.retryBudget);
+        this.retryBudget = depositRetry(this.retryBudget);
         return;
       case 'attempt-failed':
         message.reply.answer(this.decideRetry(message.attempt));
@@ -165,7 +165,8 @@
       ...this.view,
       members: this.view.members.map(member => {
         const since = this.leavingSince.get(member.backendServer);
-        const graceMs = member.backendServer === primary ? MOVE_SETTLE_MS : 0;
+        const graceMs =
+          member.backendServer === primary ? SWITCHOVER_SETTLE_MS : 0;
         return {
           ...member,
           accepting: since === undefined || now - since < graceMs,
@@ -315,8 +316,11 @@
     if (outcome === 'transport-error') {
       this.controlTasks.get(name)?.tell({kind: 'poll'});
     }
-    const before = this.health.get(name) ?? HEALTHY;
-    this.health.set(name, afterAttempt(before, outcome, this.deps.clock()));
+    const before = this.health.get(name) ?? HEALTHY_MEMBER;
+    this.health.set(
+      name,
+      updateMemberHealth(before, outcome, this.deps.clock()),
+    );
   }
 
   private decideRetry(attempt: FailedAttempt): RetryDecision {
--- a/packages/entry/src/group/local_executor.ts
+++ b/packages/entry/src/group/local_executor.ts
@@ -11,7 +11,7 @@
 import {AcquireFilter} from './acquire_filter.js';
 import type {StatementCheckout} from './attempt.js';
 import {callBackend} from './backend_call.js';
-import {refusalOf} from './backend_refusal.js';
+import {toRefusal} from './backend_refusal.js';
 import {ChooseMemberFilter} from './choose_member_filter.js';
 import {ConfirmFilter} from './confirm_filter.js';
 import {GroupExecutor} from './group_executor.js';
@@ -81,7 +81,7 @@
     );
     if (!begun.ok) {
       this.group.tell({kind: 'release', backend, reuse: 'close'});
-      const refusal = refusalOf(begun.err);
+      const refusal = toRefusal(begun.err);
       return fail({kind: 'no-member', detail: refusal.detail});
     }
     return ok(
--- a/packages/entry/src/group/local_transaction.ts
+++ b/packages/entry/src/group/local_transaction.ts
@@ -11,7 +11,7 @@
 import type {StatementCheckout} from './attempt.js';
 import {callBackend} from './backend_call.js';
 import type {BackendResult} from './backend_call.js';
-import {refusalOf} from './backend_refusal.js';
+import {toRefusal} from './backend_refusal.js';
 import type {ConfirmFilter} from './confirm_filter.js';
 import {TransactionHandle} from './group_executor.js';
 import type {Reuse} from './group_message.js';
@@ -69,7 +69,7 @@
       const {err} = committed;
       return err.kind === 'not-run'
         ? lostRefusal(err.detail)
-        : fail(refusalOf(err));
+        : fail(toRefusal(err));
     }
     const answer = await this.call(LOG_END_QUERY, deadline);
     this.end(answer.ok ? 'reuse' : 'close');
@@ -119,7 +119,7 @@
   private failed(err: BackendError): Result<never, Refusal> {
     const open =
       err.kind === 'statement-error' && !ROLLED_BACK_ERRNOS.has(err.errno);
-    if (open) return fail(refusalOf(err));
+    if (open) return fail(toRefusal(err));
     this.end('close');
     return lostRefusal(err.detail);
   }
--- a/packages/entry/src/group/member_control_task.ts
+++ b/packages/entry/src/group/member_control_task.ts
@@ -11,7 +11,7 @@
 const WAITING_POLL_MS = 50;
 
 /** The state of a member after a poll or a control call, or the error. */
-export type ControlResult = Result<MemberState, BackendError>;
+export type MemberControlResult = Result<MemberState, BackendError>;
 
 /** How often the member is polled: each pace has its own interval. */
 export type PollPace = 'idle' | 'waiting' | 'urgent';
@@ -27,11 +27,11 @@
   readonly backendServer: string;
   /** Time at which the poll was sent; the state is no older than this. */
   readonly sentAt: number;
-  readonly result: ControlResult;
+  readonly result: MemberControlResult;
 }
 
 /** A call that changes the role or the fence of a member. */
-export type ControlCall =
+export type MemberControlCall =
   | {
       readonly kind: 'fence' | 'promote';
       readonly term: number;
@@ -44,7 +44,7 @@
   | {readonly kind: 'poll'}
   /** Changes how often the member is polled. */
   | {readonly kind: 'pace'; readonly pace: PollPace}
-  | (ControlCall & {readonly reply: Reply<ControlResult>})
+  | (MemberControlCall & {readonly reply: Reply<MemberControlResult>})
   | {readonly kind: 'close'};
 
 /** Owns the control connection to one member and polls its state. */
--- a/packages/entry/src/group/plain_runner.ts
+++ b/packages/entry/src/group/plain_runner.ts
@@ -1,7 +1,7 @@
 import {fail, ok} from '@pistachiorill/core';
 import type {Refusal, Result} from '@pistachiorill/core';
 import type {StatementCheckout} from './attempt.js';
-import {refusalOf} from './backend_refusal.js';
+import {toRefusal} from './backend_refusal.js';
 import {StatementRunner} from './statement_runner.js';
 import type {RunOutcome} from './statement_runner.js';
 
@@ -21,6 +21,6 @@
     if (answer.err.kind === 'lost' && !statement.changesData) {
       return fail({kind: 'no-member', detail: answer.err.detail});
     }
-    return fail(refusalOf(answer.err));
+    return fail(toRefusal(answer.err));
   }
 }
--- a/packages/entry/src/group/recorded_runner.ts
+++ b/packages/entry/src/group/recorded_runner.ts
@@ -3,7 +3,7 @@
 import {MYSQL_ERRNO} from '@pistachiorill/mysql';
 import type {BackendError} from '@pistachiorill/mysql';
 import type {StatementCheckout} from './attempt.js';
-import {refusalOf} from './backend_refusal.js';
+import {toRefusal} from './backend_refusal.js';
 import {
   CREATE_REQUEST_TABLE,
   decodeRequestRecord,
@@ -42,7 +42,7 @@
     );
     if (!recorded.ok) return this.rollBack(checkout, recorded.err);
     const committed = await this.call(checkout, 'COMMIT');
-    if (!committed.ok) return fail(refusalOf(committed.err));
+    if (!committed.ok) return fail(toRefusal(committed.err));
     return this.withLogEnd(checkout, result.value);
   }
 
@@ -124,6 +124,6 @@
       return fail({kind: 'no-member', detail: err.detail});
     }
     await this.call(checkout, 'ROLLBACK');
-    return fail(refusalOf(err));
+    return fail(toRefusal(err));
   }
 }
--- a/packages/entry/src/group/retry_filter.ts
+++ b/packages/entry/src/group/retry_filter.ts
@@ -56,7 +56,7 @@
           attempt: {
             refusal: result.err,
             repeatability,
-            attempts,
+            attemptCount: attempts,
             deadline: statement.deadline,
           },
           reply,
--- a/packages/entry/src/lifecycle/lifecycle_task.ts
+++ b/packages/entry/src/lifecycle/lifecycle_task.ts
@@ -10,7 +10,7 @@
   | {readonly kind: 'stop-requested'};
 
 /** The collaborators of the lifecycle task. */
-export interface LifecycleTools {
+export interface LifecycleDependencies {
   readonly vm: string;
   readonly dataCentre: string;
   /** Called when the drain reasons change; the VM serves if there are none. */
@@ -30,11 +30,11 @@
   private input: DrainInput;
   private reasons: readonly DrainReason[] = [];
 
-  constructor(private readonly deps: LifecycleTools) {
+  constructor(private readonly deps: LifecycleDependencies) {
     super();
     this.input = {
       stop: 'not-requested',
-      listed: 'not-listed',
+      platformState: 'not-listed',
       dataCentre: deps.dataCentre,
       configuration: undefined,
     };
@@ -60,7 +60,7 @@
 
   private updateListed(vms: readonly ListedVm[]): void {
     const own = vms.find(item => item.vm === this.deps.vm);
-    this.update({listed: own?.state ?? 'not-listed'});
+    this.update({platformState: own?.state ?? 'not-listed'});
   }
 
   private update(change: Partial<DrainInput>): void {
--- a/packages/entry/src/measure/membership.ts
+++ b/packages/entry/src/measure/membership.ts
@@ -11,7 +11,7 @@
   workerData,
 } from 'node:worker_threads';
 import {Random, ok} from '@pistachiorill/core';
-import {PeerServer, servedPeers} from '@pistachiorill/peers';
+import {PeerServer, servedPeerRouter} from '@pistachiorill/peers';
 import {VmList} from '@pistachiorill/store';
 import type {ListedVm} from '@pistachiorill/store';
 import {OwnerTask} from '../forward/owner_task.js';
@@ -75,7 +75,7 @@
       onFault,
     });
     this.server = new PeerServer(
-      servedPeers(
+      servedPeerRouter(
         new EntryPeerHandlers(this.membership, this.owner, {
           configuration: async () => ({kind: 'missing'}),
           announce: () => undefined,
