--- a/packages/entry/src/membership/__tests__/membership_task.test.ts
+++ b/packages/entry/src/membership/__tests__/membership_task.test.ts
@@ -1,9 +1,9 @@
 import {createServer} from 'node:net';
 import type {AddressInfo, Server} from 'node:net';
 import {Random, fail} from '@pistachiorill/core';
-import type {PeerRecord, Versions} from '@pistachiorill/core';
-import {PeerServer, servedPeers} from '@pistachiorill/peers';
-import type {Gossip, StatusAnswer} from '@pistachiorill/peers';
+import type {PeerRecord, RowVersions} from '@pistachiorill/core';
+import {PeerServer, servedPeerRouter} from '@pistachiorill/peers';
+import type {Gossip, StatusResponse} from '@pistachiorill/peers';
 import {VmList} from '@pistachiorill/store';
 import {ask} from '@pistachiorill/tasks';
 import {afterEach, describe, expect, it, vi} from 'vitest';
@@ -19,7 +19,7 @@
 }
 
 const PORT = 42_191;
-const NO_VERSIONS: Versions = {configuration: 0, ledger: 0};
+const NO_VERSIONS: RowVersions = {configuration: 0, ledger: 0};
 
 /** Builds a peer record. VMs differ by their loopback address. */
 function peerRecord(vm: string, host: number, port = PORT): PeerRecord {
@@ -46,7 +46,7 @@
 
 function gossipOf(
   from: PeerRecord,
-  versions: Versions,
+  versions: RowVersions,
   proofAgeMs: number | null,
 ): Gossip {
   return {
@@ -90,7 +90,7 @@
     closers.push(() => task.stop());
     const probed = (gossip: Gossip): Promise<Gossip> =>
       ask(reply => task.tell({kind: 'probed', gossip, reply}));
-    const status = (): Promise<StatusAnswer> =>
+    const status = (): Promise<StatusResponse> =>
       ask(reply => task.tell({kind: 'status', reply}));
     return {task, views, suspicions, time, probed, status};
   }
@@ -103,7 +103,7 @@
       onFault: () => undefined,
     });
     const server = new PeerServer(
-      servedPeers(
+      servedPeerRouter(
         new EntryPeerHandlers(task, owner, {
           configuration: async () => ({kind: 'missing'}),
           announce: () => undefined,
--- a/packages/entry/src/membership/membership_message.ts
+++ b/packages/entry/src/membership/membership_message.ts
@@ -5,8 +5,8 @@
 } from '@pistachiorill/core';
 import type {
   Gossip,
-  ProbeIndirectAnswer,
-  StatusAnswer,
+  ProbeIndirectResponse,
+  StatusResponse,
 } from '@pistachiorill/peers';
 import type {ListedVm} from '@pistachiorill/store';
 import type {Reply} from '@pistachiorill/tasks';
@@ -42,11 +42,11 @@
   | {
       readonly kind: 'probe-indirect';
       readonly target: PeerRecord;
-      readonly reply: Reply<ProbeIndirectAnswer>;
+      readonly reply: Reply<ProbeIndirectResponse>;
     }
   /** A row was read, or a version came into force. */
   | {readonly kind: 'authority'; readonly event: AuthorityEvent}
-  | {readonly kind: 'status'; readonly reply: Reply<StatusAnswer>}
+  | {readonly kind: 'status'; readonly reply: Reply<StatusResponse>}
   /** Announces that this VM leaves; answered when all probes have ended. */
   | {readonly kind: 'leave'; readonly reply: Reply<void>}
   /** Announces that this VM accepts work again. */
--- a/packages/entry/src/membership/membership_task.ts
+++ b/packages/entry/src/membership/membership_task.ts
@@ -6,9 +6,9 @@
   decideMembership,
   initialAuthority,
   initialMembership,
-  probesForProof,
+  proofProbeTargets,
   runningPeers,
-  takeChanges,
+  selectChanges,
   versionReport,
 } from '@pistachiorill/core';
 import type {
@@ -21,15 +21,15 @@
 } from '@pistachiorill/core';
 import type {
   Gossip,
-  ProbeIndirectAnswer,
-  StatusAnswer,
+  ProbeIndirectResponse,
+  StatusResponse,
 } from '@pistachiorill/peers';
 import type {ListedVm} from '@pistachiorill/store';
 import {Task} from '@pistachiorill/tasks';
 import type {Reply} from '@pistachiorill/tasks';
-import {PeerClients} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_clients.js';
 import type {MembershipMessage} from './membership_message.js';
-import type {MembershipTools} from './membership_tools.js';
+import type {MembershipDependencies} from './membership_tools.js';
 
 const PROBE_TIMEOUT_MS = 300;
 /** Includes the time for the probe that the helping VM sends. */
@@ -51,10 +51,10 @@
   private discovery: 'pending' | 'done' = 'pending';
   /** The parts of the view as last published, to detect changes. */
   private published: readonly unknown[] = [];
-  private readonly clients = new PeerClients();
+  private readonly clients = new PeerClientCache();
   private readonly timers: NodeJS.Timeout[] = [];
 
-  constructor(private readonly deps: MembershipTools) {
+  constructor(private readonly deps: MembershipDependencies) {
     super();
     this.membership = initialMembership(deps.self, deps.incarnation);
     this.authority = initialAuthority(deps.self.instance);
@@ -135,7 +135,7 @@
         entry.peer,
       ]),
     );
-    const proofTargets = probesForProof(
+    const proofTargets = proofProbeTargets(
       this.authority,
       [...running.keys()],
       this.deps.clock(),
@@ -164,7 +164,7 @@
   private async probe(target: PeerRecord): Promise<void> {
     const sentAt = this.deps.clock();
     const result = await this.clients
-      .to(target.address)
+      .clientFor(target.address)
       .probe(this.gossipFor(target.vm, 'known'), {
         timeoutMs: PROBE_TIMEOUT_MS,
       });
@@ -196,7 +196,7 @@
     const answers = await Promise.all(
       via.map(helper =>
         this.clients
-          .to(helper.address)
+          .clientFor(helper.address)
           .probeIndirect({target}, {timeoutMs: INDIRECT_TIMEOUT_MS}),
       ),
     );
@@ -217,11 +217,11 @@
   /** Probes a VM on behalf of a peer that cannot reach it. */
   private async probeOnBehalf(
     target: PeerRecord,
-    reply: Reply<ProbeIndirectAnswer>,
+    reply: Reply<ProbeIndirectResponse>,
   ): Promise<void> {
     const sentAt = this.deps.clock();
     const result = await this.clients
-      .to(target.address)
+      .clientFor(target.address)
       .probe(this.gossipFor(target.vm, 'known'), {
         timeoutMs: PROBE_TIMEOUT_MS,
       });
@@ -285,7 +285,7 @@
     recipientState: 'known' | 'new',
   ): Gossip {
     const {random, clock, payloads} = this.deps;
-    const taken = takeChanges(
+    const taken = selectChanges(
       this.membership,
       recipient,
       recipientState,
@@ -340,7 +340,7 @@
 
   private retainClients(): void {
     const {peers, candidates} = this.membership;
-    this.clients.retain(
+    this.clients.retainOnly(
       new Set(
         [...peers.values(), ...candidates.values()].map(
           item => item.peer.address,
@@ -349,7 +349,7 @@
     );
   }
 
-  private status(): StatusAnswer {
+  private status(): StatusResponse {
     const now = this.deps.clock();
     return {
       peer: this.membership.self,
--- a/packages/entry/src/membership/membership_tools.ts
+++ b/packages/entry/src/membership/membership_tools.ts
@@ -5,7 +5,7 @@
 import type {MembershipView} from './membership_view.js';
 
 /** The collaborators of the membership task. */
-export interface MembershipTools {
+export interface MembershipDependencies {
   readonly self: PeerRecord;
   /** The initial incarnation; see `initialMembership`. */
   readonly incarnation: number;
--- a/packages/entry/src/membership/membership_view.ts
+++ b/packages/entry/src/membership/membership_view.ts
@@ -2,7 +2,7 @@
   LedgerMembers,
   PeerEntry,
   PeerRecord,
-  Versions,
+  RowVersions,
 } from '@pistachiorill/core';
 
 /** The view of the fleet that the membership task publishes. */
@@ -14,9 +14,9 @@
   /** Done when the platform's list or gossip has been received once. */
   readonly discovery: 'pending' | 'done';
   /** The highest versions that any VM has reported, including this one. */
-  readonly known: Versions;
+  readonly known: RowVersions;
   /** The versions in force on this VM. */
-  readonly applied: Versions;
+  readonly applied: RowVersions;
   readonly ledger: LedgerMembers;
   /** The last reported ledger version in force, by VM instance. */
   readonly appliedLedgers: ReadonlyMap<string, number>;
--- a/packages/entry/src/peers/entry_peer_handlers.ts
+++ b/packages/entry/src/peers/entry_peer_handlers.ts
@@ -2,37 +2,37 @@
 import {PeerHandlers} from '@pistachiorill/peers';
 import type {
   Announcement,
-  BeginAnswer,
+  BeginResponse,
   BeginRequest,
   CommitRequest,
-  ConfigurationAnswer,
+  ConfigurationResponse,
   ConfigurationRequest,
   ExecuteInRequest,
-  ForwardAnswer,
+  ForwardResponse,
   ForwardRequest,
   Gossip,
   KeepAliveRequest,
-  LedgerAnswer,
+  LedgerResponse,
   LedgerRequest,
-  LoanAnswer,
+  LoanResponse,
   LoanRequest,
-  ProbeIndirectAnswer,
+  ProbeIndirectResponse,
   ProbeIndirectRequest,
   RollbackRequest,
-  StatusAnswer,
+  StatusResponse,
 } from '@pistachiorill/peers';
 import {ask} from '@pistachiorill/tasks';
 import type {OwnerTask} from '../forward/owner_task.js';
 import type {MembershipTask} from '../membership/membership_task.js';
 
 /** Handlers of requests that belong to other subsystems of the daemon. */
-export interface PeerServices {
+export interface PeerRequestHandlers {
   readonly configuration: (
     req: ConfigurationRequest,
-  ) => Promise<ConfigurationAnswer>;
+  ) => Promise<ConfigurationResponse>;
   readonly announce: (announcement: Announcement) => void;
-  readonly ledger: (req: LedgerRequest) => Promise<LedgerAnswer>;
-  readonly loan: (req: LoanRequest) => Promise<LoanAnswer>;
+  readonly ledger: (req: LedgerRequest) => Promise<LedgerResponse>;
+  readonly loan: (req: LoanRequest) => Promise<LoanResponse>;
   readonly report: (report: FailoverReport) => void;
 }
 
@@ -44,7 +44,7 @@
   constructor(
     private readonly membership: MembershipTask,
     private readonly owner: OwnerTask,
-    private readonly services: PeerServices,
+    private readonly services: PeerRequestHandlers,
   ) {
     super();
   }
@@ -55,7 +55,7 @@
 
   override probeIndirect(
     req: ProbeIndirectRequest,
-  ): Promise<ProbeIndirectAnswer> {
+  ): Promise<ProbeIndirectResponse> {
     const {target} = req;
     return ask(reply =>
       this.membership.tell({kind: 'probe-indirect', target, reply}),
@@ -64,7 +64,7 @@
 
   override configuration(
     req: ConfigurationRequest,
-  ): Promise<ConfigurationAnswer> {
+  ): Promise<ConfigurationResponse> {
     return this.services.configuration(req);
   }
 
@@ -72,11 +72,11 @@
     this.services.announce(announcement);
   }
 
-  override ledger(req: LedgerRequest): Promise<LedgerAnswer> {
+  override ledger(req: LedgerRequest): Promise<LedgerResponse> {
     return this.services.ledger(req);
   }
 
-  override loan(req: LoanRequest): Promise<LoanAnswer> {
+  override loan(req: LoanRequest): Promise<LoanResponse> {
     return this.services.loan(req);
   }
 
@@ -84,19 +84,19 @@
     this.services.report(report);
   }
 
-  override forward(req: ForwardRequest): Promise<ForwardAnswer> {
+  override forward(req: ForwardRequest): Promise<ForwardResponse> {
     return ask(reply => this.owner.tell({kind: 'forward', req, reply}));
   }
 
-  override begin(req: BeginRequest): Promise<BeginAnswer> {
+  override begin(req: BeginRequest): Promise<BeginResponse> {
     return ask(reply => this.owner.tell({kind: 'begin', req, reply}));
   }
 
-  override executeIn(req: ExecuteInRequest): Promise<ForwardAnswer> {
+  override executeIn(req: ExecuteInRequest): Promise<ForwardResponse> {
     return ask(reply => this.owner.tell({kind: 'execute-in', req, reply}));
   }
 
-  override commit(req: CommitRequest): Promise<ForwardAnswer> {
+  override commit(req: CommitRequest): Promise<ForwardResponse> {
     return ask(reply => this.owner.tell({kind: 'commit', req, reply}));
   }
 
@@ -109,7 +109,7 @@
     this.owner.tell({kind: 'keep-alive', transactions});
   }
 
-  override status(): Promise<StatusAnswer> {
+  override status(): Promise<StatusResponse> {
     return ask(reply => this.membership.tell({kind: 'status', reply}));
   }
 }
--- a/packages/entry/src/peers/peer_clients.ts
+++ b/packages/entry/src/peers/peer_clients.ts
@@ -1,11 +1,11 @@
 import {PeerClient} from '@pistachiorill/peers';
 
 /** The peer clients of one task, one for each address. */
-export class PeerClients {
+export class PeerClientCache {
   private readonly clients = new Map<string, PeerClient>();
 
   /** Returns the client for an address, creating it on first use. */
-  to(address: string): PeerClient {
+  clientFor(address: string): PeerClient {
     const existing = this.clients.get(address);
     if (existing) return existing;
     const client = new PeerClient(address);
@@ -14,7 +14,7 @@
   }
 
   /** Closes the clients of all other addresses. */
-  retain(addresses: ReadonlySet<string>): void {
+  retainOnly(addresses: ReadonlySet<string>): void {
     for (const [address, client] of this.clients) {
       if (addresses.has(address)) continue;
       client.close();
@@ -24,6 +24,6 @@
 
   /** Closes all clients. */
   close(): void {
-    this.retain(new Set());
+    this.retainOnly(new Set());
   }
 }
--- a/packages/entry/src/quota/__tests__/ledger_task.test.ts
+++ b/packages/entry/src/quota/__tests__/ledger_task.test.ts
@@ -43,7 +43,7 @@
 class FakePeers extends LedgerPeers {
   row: Row | undefined;
 
-  override newer = async () => this.row;
+  override fetchRow = async () => this.row;
 }
 
 class FakeVm {
--- a/packages/entry/src/quota/admit_filter.ts
+++ b/packages/entry/src/quota/admit_filter.ts
@@ -1,4 +1,4 @@
-import {ADMIT_WAIT_MS, Filter, fail, ok} from '@pistachiorill/core';
+import {MAX_ADMISSION_WAIT_MS, Filter, fail, ok} from '@pistachiorill/core';
 import type {Refusal, Result, RoutedStatement} from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
 import type {AdmitOutcome} from './quota_message.js';
@@ -28,7 +28,7 @@
     // Anonymous callers arrive only through open routes and have no rate limit.
     if (caller.kind !== 'keyed') return ok(statement);
     const {workspace} = caller;
-    const until = Math.min(now + ADMIT_WAIT_MS, deadline);
+    const until = Math.min(now + MAX_ADMISSION_WAIT_MS, deadline);
     const outcome = await ask<AdmitOutcome>(reply =>
       this.quota.tell({kind: 'admit', workspace, until, reply}),
     );
--- a/packages/entry/src/quota/ledger_peers.ts
+++ b/packages/entry/src/quota/ledger_peers.ts
@@ -6,5 +6,5 @@
    * Returns the row at `version` or higher, or undefined if no peer that was
    * asked has it.
    */
-  abstract newer(version: number): Promise<Row | undefined>;
+  abstract fetchRow(version: number): Promise<Row | undefined>;
 }
--- a/packages/entry/src/quota/ledger_step.ts
+++ b/packages/entry/src/quota/ledger_step.ts
@@ -2,7 +2,7 @@
   balanceShare,
   entryOf,
   finishReclaim,
-  intendReclaim,
+  startReclaim,
   joinLedger,
   leaveLedger,
 } from '@pistachiorill/core';
@@ -10,7 +10,7 @@
 import type {AuditEntry} from '@pistachiorill/telemetry';
 
 /** The fields of an audit entry that describe a ledger change. */
-export type LedgerChange = Pick<
+export type LedgerAuditFields = Pick<
   AuditEntry,
   'action' | 'subject' | 'before' | 'after'
 >;
@@ -19,7 +19,7 @@
 export interface LedgerStep {
   readonly ledger: Ledger;
   /** Undefined for unaudited changes, such as balancing. */
-  readonly change: LedgerChange | undefined;
+  readonly change: LedgerAuditFields | undefined;
 }
 
 /**
@@ -50,7 +50,7 @@
 
   /** Marks an entry as being reclaimed. */
   startReclaim(ledger: Ledger, entry: LedgerEntry): LedgerStep {
-    const next = intendReclaim(ledger, entry.instance);
+    const next = startReclaim(ledger, entry.instance);
     return auditedStep(
       next,
       'reclaim-started',
@@ -96,7 +96,7 @@
 
 function auditedStep(
   ledger: Ledger,
-  action: LedgerChange['action'],
+  action: LedgerAuditFields['action'],
   {vm, instance}: PeerRecord,
   before: string,
   after: string,
--- a/packages/entry/src/quota/ledger_task.ts
+++ b/packages/entry/src/quota/ledger_task.ts
@@ -1,8 +1,8 @@
 import {randomUUID} from 'node:crypto';
 import {
   EMPTY_LEDGER,
-  LENDER_MARGIN,
-  SHARE_LOAN_MS,
+  LENDER_DURATION_FACTOR,
+  MAX_SHARE_LOAN_MS,
   entryOf,
   ledgerMembers,
   mayFinishReclaim,
@@ -24,7 +24,7 @@
 import type {Clock, Reply} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
 import {LEDGER_STEPS} from './ledger_step.js';
-import type {LedgerChange, LedgerStep} from './ledger_step.js';
+import type {LedgerAuditFields, LedgerStep} from './ledger_step.js';
 import type {LedgerPeers} from './ledger_peers.js';
 import type {QuotaTask} from './quota_task.js';
 import {settleWrites} from './unsettled_writes.js';
@@ -39,7 +39,7 @@
 /** Gives a VM time to restart and take over its share without a reclaim. */
 const RECLAIM_AFTER_MS = 10_000;
 /** How long loans made by the earlier process of this VM may be in use. */
-const PREDECESSOR_WAIT_MS = SHARE_LOAN_MS * LENDER_MARGIN;
+const PREDECESSOR_WAIT_MS = MAX_SHARE_LOAN_MS * LENDER_DURATION_FACTOR;
 
 /** Attempts to return the share when a stopping VM hits write conflicts. */
 const MAX_LEAVE_ATTEMPTS = 5;
@@ -68,13 +68,13 @@
   | {readonly kind: 'leave'; readonly reply: Reply<void>};
 
 /** Adds a change that took effect, or may have, to the audit trail. */
-export type RecordLedgerChange = (
-  change: LedgerChange,
+export type AuditLedgerChange = (
+  change: LedgerAuditFields,
   operationId: string,
 ) => void;
 
 /** The collaborators of the ledger task. */
-export interface LedgerTools {
+export interface LedgerDependencies {
   readonly self: PeerRecord;
   /** The key of the ledger row. */
   readonly key: string;
@@ -85,7 +85,7 @@
   readonly onApplied: (members: LedgerMembers, row: Row) => void;
   /** Whether this VM has running work that needs the share. */
   readonly activity: () => 'idle' | 'busy';
-  readonly record: RecordLedgerChange;
+  readonly record: AuditLedgerChange;
   readonly random: Random;
   readonly clock: Clock;
   readonly log: Logger;
@@ -121,7 +121,7 @@
   private progress = new Map<string, ReclaimProgress>();
   private timer: NodeJS.Timeout | undefined;
 
-  constructor(private readonly deps: LedgerTools) {
+  constructor(private readonly deps: LedgerDependencies) {
     super();
     this.startedAt = deps.clock();
   }
@@ -239,7 +239,7 @@
    */
   private async readFromPeer(): Promise<void> {
     if (!this.isBehind) return;
-    const row = await this.deps.peers.newer(this.version + 1);
+    const row = await this.deps.peers.fetchRow(this.version + 1);
     if (row && row.version > this.version) {
       this.apply(parseLedger(row.value), row);
     }
--- a/packages/entry/src/quota/member_ledger_peers.ts
+++ b/packages/entry/src/quota/member_ledger_peers.ts
@@ -1,7 +1,7 @@
 import type {Random} from '@pistachiorill/core';
 import type {Row} from '@pistachiorill/store';
 import type {MembershipView} from '../membership/membership_view.js';
-import {PeerClients} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_clients.js';
 import {LedgerPeers} from './ledger_peers.js';
 
 /** Peers are asked one at a time, as the row of a large fleet is long. */
@@ -9,8 +9,8 @@
 const REQUEST_TIMEOUT_MS = 500;
 
 /** Asks up to three random VMs that have reported a high enough version. */
-export class MemberLedgerPeers extends LedgerPeers {
-  private readonly clients = new PeerClients();
+export class FleetLedgerPeers extends LedgerPeers {
+  private readonly clients = new PeerClientCache();
   /** The applied ledger version by address of alive and suspect VMs. */
   private applied: ReadonlyMap<string, number> = new Map();
 
@@ -22,7 +22,7 @@
   }
 
   /** Updates the VMs that may be asked. */
-  viewChanged({peers, appliedLedgers}: MembershipView): void {
+  applyMembership({peers, appliedLedgers}: MembershipView): void {
     this.applied = new Map(
       peers
         .filter(({state}) => state === 'alive' || state === 'suspect')
@@ -31,10 +31,10 @@
           appliedLedgers.get(peer.instance) ?? 0,
         ]),
     );
-    this.clients.retain(new Set(this.applied.keys()));
+    this.clients.retainOnly(new Set(this.applied.keys()));
   }
 
-  override async newer(version: number): Promise<Row | undefined> {
+  override async fetchRow(version: number): Promise<Row | undefined> {
     const {key, random} = this;
     const remaining = [...this.applied]
       .filter(([, applied]) => applied >= version)
@@ -49,7 +49,7 @@
         1,
       );
       const answer = await this.clients
-        .to(address)
+        .clientFor(address)
         .ledger({key, version}, {timeoutMs: REQUEST_TIMEOUT_MS});
       if (!answer.ok || answer.value.kind === 'missing') continue;
       const {value} = answer.value;
--- a/packages/entry/src/quota/quota_part.ts
+++ b/packages/entry/src/quota/quota_part.ts
@@ -7,45 +7,45 @@
   LoanRequest,
   PeerRecord,
 } from '@pistachiorill/core';
-import type {LedgerAnswer, LedgerRequest} from '@pistachiorill/peers';
+import type {LedgerResponse, LedgerRequest} from '@pistachiorill/peers';
 import type {Row, TableService} from '@pistachiorill/store';
 import {ask} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
 import type {MembershipView} from '../membership/membership_view.js';
-import {PeerClients} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_clients.js';
 import {AdmitFilter} from './admit_filter.js';
 import {LedgerTask} from './ledger_task.js';
-import type {RecordLedgerChange} from './ledger_task.js';
-import {MemberLedgerPeers} from './member_ledger_peers.js';
+import type {AuditLedgerChange} from './ledger_task.js';
+import {FleetLedgerPeers} from './member_ledger_peers.js';
 import {QuotaTask} from './quota_task.js';
 
 /** A lender that does not answer in this time counts as unreachable. */
 const LOAN_TIMEOUT_MS = 100;
 
 /** The collaborators of the quota subsystem. */
-export interface QuotaPartTools {
+export interface QuotaSubsystemDependencies {
   readonly self: PeerRecord;
   /** The key of the ledger row. */
   readonly ledgerKey: string;
   readonly table: TableService;
   /** Passes an authority event to the membership task. */
-  readonly learn: (event: AuthorityEvent) => void;
+  readonly updateAuthority: (event: AuthorityEvent) => void;
   /** Whether this VM has running work that needs the share. */
   readonly activity: () => 'idle' | 'busy';
-  readonly record: RecordLedgerChange;
+  readonly record: AuditLedgerChange;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
 /** Wires the tasks that enforce the rate limits of the workspaces. */
-export class QuotaPart {
+export class QuotaSubsystem {
   /** The rate limit filter for the statement pipeline. */
   readonly filter: AdmitFilter;
   private readonly quota: QuotaTask;
   private readonly ledger: LedgerTask;
-  private readonly ledgerPeers: MemberLedgerPeers;
-  private readonly clients = new PeerClients();
+  private readonly ledgerPeers: FleetLedgerPeers;
+  private readonly clients = new PeerClientCache();
   /** The peer addresses of the VMs that are alive, by instance. */
   private addresses: ReadonlyMap<string, string> = new Map();
   private reportedLedgerVersion = 0;
@@ -53,8 +53,8 @@
   private row: Row | undefined;
   private serveUnconfirmed = false;
 
-  constructor(private readonly deps: QuotaPartTools) {
-    const {self, table, clock, log, learn} = deps;
+  constructor(private readonly deps: QuotaSubsystemDependencies) {
+    const {self, table, clock, log, updateAuthority: learn} = deps;
     this.quota = new QuotaTask({
       self: self.instance,
       sendLoanRequest: (instance, req) => this.sendLoanRequest(instance, req),
@@ -63,7 +63,7 @@
       onFault: err =>
         log.error({event: 'quota.failed', err}, 'quota task failed'),
     });
-    this.ledgerPeers = new MemberLedgerPeers(
+    this.ledgerPeers = new FleetLedgerPeers(
       deps.ledgerKey,
       new Random(Date.now() | 0),
     );
@@ -99,14 +99,14 @@
   }
 
   /** Answers a peer's request for a loan. */
-  lend(request: LoanRequest): Promise<LoanGrant> {
+  handleLoanRequest(request: LoanRequest): Promise<LoanGrant> {
     return ask(reply =>
       this.quota.tell({kind: 'loan-requested', request, reply}),
     );
   }
 
   /** Returns the applied ledger row to a peer that cannot read the store. */
-  async ledgerRow({key, version}: LedgerRequest): Promise<LedgerAnswer> {
+  async ledgerRow({key, version}: LedgerRequest): Promise<LedgerResponse> {
     const {row} = this;
     if (row?.key !== key || row.version < version) return {kind: 'missing'};
     return {kind: 'found', version: row.version, value: row.value};
@@ -126,13 +126,13 @@
   }
 
   /** Passes changes of the membership view to the quota and ledger tasks. */
-  viewChanged(view: MembershipView): void {
+  applyMembership(view: MembershipView): void {
     const alive = view.peers.filter(entry => entry.state === 'alive');
     this.addresses = new Map(
       alive.map(({peer}) => [peer.instance, peer.address]),
     );
-    this.clients.retain(new Set(this.addresses.values()));
-    this.ledgerPeers.viewChanged(view);
+    this.clients.retainOnly(new Set(this.addresses.values()));
+    this.ledgerPeers.applyMembership(view);
     this.quota.tell({kind: 'peers', peers: [...this.addresses.keys()]});
     this.quota.tell({
       kind: 'confirmed',
@@ -163,17 +163,17 @@
       view.known.ledger > view.applied.ledger
     ) {
       const versions = {ledger: view.known.ledger};
-      this.deps.learn({kind: 'applied', versions});
+      this.deps.updateAuthority({kind: 'applied', versions});
     }
   }
 
   /** A draining VM returns its share when its work has ended. */
-  lifecycleChanged(lifecycle: Lifecycle): void {
+  applyLifecycle(lifecycle: Lifecycle): void {
     this.ledger.tell({kind: 'lifecycle', lifecycle});
   }
 
   /** Returns the share before the VM stops; call it when no work needs it. */
-  leave(): Promise<void> {
+  returnShare(): Promise<void> {
     return ask(reply => this.ledger.tell({kind: 'leave', reply}));
   }
 
@@ -192,7 +192,7 @@
     const address = this.addresses.get(instance);
     if (address === undefined) return undefined;
     const res = await this.clients
-      .to(address)
+      .clientFor(address)
       .loan(request, {timeoutMs: LOAN_TIMEOUT_MS});
     return res.ok ? res.value : undefined;
   }
--- a/packages/entry/src/quota/quota_task.ts
+++ b/packages/entry/src/quota/quota_task.ts
@@ -1,4 +1,4 @@
-import {decideQuota, lentPpmOf, newQuotaState} from '@pistachiorill/core';
+import {decideQuota, maxLentPpm, newQuotaState} from '@pistachiorill/core';
 import type {
   LoanGrant,
   LoanRequest,
@@ -26,7 +26,7 @@
 ) => Promise<LoanGrant | undefined>;
 
 /** The collaborators of the quota task. */
-export interface QuotaTools {
+export interface QuotaDependencies {
   /** The instance of this VM. */
   readonly self: string;
   readonly sendLoanRequest: SendLoanRequest;
@@ -55,7 +55,7 @@
   private timer: NodeJS.Timeout | undefined;
   private nextTickAt = Infinity;
 
-  constructor(private readonly deps: QuotaTools) {
+  constructor(private readonly deps: QuotaDependencies) {
     super();
     this.state = newQuotaState(deps.self);
     this.schedule();
@@ -75,7 +75,7 @@
         const {workspace, until, reply} = message;
         this.waiting.set(ticket, {until, reply});
         this.nextRefusalAt = Math.min(this.nextRefusalAt, until);
-        this.decide({kind: 'admit', workspace, ticket, until});
+        this.decide({kind: 'admit', workspace, ticket, deadline: until});
         break;
       }
       case 'loan-requested': {
@@ -99,7 +99,7 @@
         this.setShare(message.sharePpm);
         break;
       case 'lower-share': {
-        const lent = lentPpmOf(this.state, this.deps.clock());
+        const lent = maxLentPpm(this.state, this.deps.clock());
         const kept = Math.min(
           this.state.sharePpm,
           Math.max(message.toPpm, lent),
--- a/packages/entry/src/quota/unsettled_writes.ts
+++ b/packages/entry/src/quota/unsettled_writes.ts
@@ -1,12 +1,12 @@
 import type {Ledger} from '@pistachiorill/core';
-import type {LedgerChange} from './ledger_step.js';
+import type {LedgerAuditFields} from './ledger_step.js';
 
 /** A write whose answer was lost and which may have taken effect. */
 export interface UnsettledWrite {
   readonly operationId: string;
   /** The version on which the write was based. */
   readonly expected: number;
-  readonly change: LedgerChange;
+  readonly change: LedgerAuditFields;
 }
 
 /** The result of comparing unsettled writes with a version of the row. */
--- a/packages/entry/src/routing/__tests__/plan_routing.test.ts
+++ b/packages/entry/src/routing/__tests__/plan_routing.test.ts
@@ -11,7 +11,13 @@
 }
 
 function entry(vm: string, state: PeerState = 'alive'): PeerEntry {
-  return {peer: record(vm), state, incarnation: 1, since: 0, triedAt: 0};
+  return {
+    peer: record(vm),
+    state,
+    incarnation: 1,
+    since: 0,
+    lastFailedProbeAt: 0,
+  };
 }
 
 function viewOf(changes: Partial<MembershipView>): MembershipView {
--- a/packages/entry/src/routing/group_directory.ts
+++ b/packages/entry/src/routing/group_directory.ts
@@ -1,4 +1,4 @@
-import {connectionAllowance, mayAccept} from '@pistachiorill/core';
+import {connectionAllowance, acceptsNewStatements} from '@pistachiorill/core';
 import type {
   BackendServer,
   Configuration,
@@ -8,7 +8,7 @@
 } from '@pistachiorill/core';
 import type {FailoverTask} from '../failover/failover_task.js';
 import {ForwardingExecutor} from '../forward/forwarding_executor.js';
-import type {ForwardTools} from '../forward/forward_tools.js';
+import type {ForwardingDependencies} from '../forward/forward_tools.js';
 import type {OwnerTarget} from '../forward/owner_calls.js';
 import type {GroupExecutor} from '../group/group_executor.js';
 import type {GroupTask} from '../group/group_task.js';
@@ -27,9 +27,9 @@
 }
 
 /** The collaborators and settings of a `GroupDirectory`. */
-export interface DirectoryTools {
+export interface GroupDirectoryDependencies {
   readonly mode: RoutingMode;
-  readonly forward: ForwardTools;
+  readonly forward: ForwardingDependencies;
   /** Starts the tasks of a group that this VM now owns. */
   readonly create: (database: string) => OwnedGroup;
 }
@@ -46,7 +46,7 @@
   private configuration: Configuration | undefined;
   private view: MembershipView | undefined;
 
-  constructor(private readonly deps: DirectoryTools) {}
+  constructor(private readonly deps: GroupDirectoryDependencies) {}
 
   /** Applies a new configuration, which may change members and limits. */
   configure(configuration: Configuration): void {
@@ -59,7 +59,7 @@
   }
 
   /** Applies a new membership view, which may change the owners. */
-  viewChanged(view: MembershipView): void {
+  applyMembership(view: MembershipView): void {
     this.view = view;
     this.update('view-changed');
   }
@@ -73,7 +73,7 @@
   }
 
   /** The executor for callers' statements, if the database is served. */
-  executor(database: string): GroupExecutor | undefined {
+  executorFor(database: string): GroupExecutor | undefined {
     return this.local(database) ?? this.forwarding.get(database);
   }
 
@@ -83,14 +83,14 @@
   }
 
   /** The number of data connections that this VM may now open to a member. */
-  allowance(database: string, server: BackendServer): number {
+  connectionAllowanceFor(database: string, server: BackendServer): number {
     const plan = this.plans.get(database);
     if (plan?.role !== 'owner') return 0;
     return connectionAllowance(server.connectionLimit, plan.ownerCount);
   }
 
   /** Passes a failover report of another VM to its group, if owned here. */
-  reported(report: FailoverReport): void {
+  passOnReport(report: FailoverReport): void {
     const group = this.owned.get(report.database);
     group?.failover.tell({kind: 'reported', report});
   }
@@ -213,7 +213,7 @@
   name: string,
 ): BackendServer | undefined {
   const server = configuration.backendServers.find(item => item.name === name);
-  return server && !mayAccept(server, configuration)
+  return server && !acceptsNewStatements(server, configuration)
     ? {...server, state: 'leaving'}
     : server;
 }
--- a/packages/entry/src/routing/plan_routing.ts
+++ b/packages/entry/src/routing/plan_routing.ts
@@ -4,7 +4,7 @@
   mayOpenConnections,
 } from '@pistachiorill/core';
 import type {
-  GroupSize,
+  GroupConnectionLimit,
   LedgerVm,
   OwnerCandidate,
   PeerEntry,
@@ -36,7 +36,7 @@
  * within the connection limit of each member.
  */
 export function planRouting(
-  group: GroupSize,
+  group: GroupConnectionLimit,
   mode: RoutingMode,
   view: MembershipView,
   previous: GroupRoutingPlan | undefined,
--- a/packages/experiment/src/commands/run_experiment.ts
+++ b/packages/experiment/src/commands/run_experiment.ts
@@ -1,6 +1,6 @@
 import {mkdirSync, readFileSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
-import {AUTHORITY, LEAFMARK} from '@pistachiorill/launcher';
+import {AUTHORITY_PROFILE, LEAFMARK_PROFILE} from '@pistachiorill/launcher';
 import type {Profile} from '@pistachiorill/launcher';
 import {violationCount} from '../history/check_history.js';
 import {checkTable} from '../report/check_table.js';
@@ -54,7 +54,7 @@
   flags: ExperimentFlags,
   buildFolder: string,
 ): Promise<number> {
-  const profile = [AUTHORITY, LEAFMARK].find(
+  const profile = [AUTHORITY_PROFILE, LEAFMARK_PROFILE].find(
     item => item.name === flags.profile,
   );
   const scenarios = ALL_SCENARIOS.filter(
--- a/packages/experiment/src/cost/decision_cost.ts
+++ b/packages/experiment/src/cost/decision_cost.ts
@@ -154,7 +154,7 @@
     scope: 'autocommit',
     receivedAt: NOW,
     context: {
-      current: {version: 1, hash: 'h', configuration},
+      activeConfiguration: {version: 1, hash: 'h', configuration},
       confirmation: 'confirmed',
       lifecycle: 'serving',
     },
--- a/packages/experiment/src/cost/path_cost.ts
+++ b/packages/experiment/src/cost/path_cost.ts
@@ -1,7 +1,7 @@
 import {createConnection} from 'mysql2/promise';
 import type {Connection} from 'mysql2/promise';
 import {
-  AUTHORITY,
+  AUTHORITY_PROFILE,
   Fleet,
   databaseNames,
   memberName,
@@ -19,16 +19,16 @@
 const UNLIMITED_RATE = 1_000_000;
 
 const PROFILE: Profile = {
-  ...AUTHORITY,
+  ...AUTHORITY_PROFILE,
   // With one replica, all stale reads go to the same member.
-  dataCentres: AUTHORITY.dataCentres.slice(0, 2),
+  dataCentres: AUTHORITY_PROFILE.dataCentres.slice(0, 2),
   databaseCount: 1,
   vmCount: 1,
   connectionLimit: 100,
   // More slots than callers, so that waiting for a slot at the member does not
   // hide the cost of the path.
   slots: 64,
-  workspaces: AUTHORITY.workspaces.slice(0, 1).map(item => ({
+  workspaces: AUTHORITY_PROFILE.workspaces.slice(0, 1).map(item => ({
     ...item,
     rate: UNLIMITED_RATE,
     burst: UNLIMITED_RATE,
--- a/packages/experiment/src/load/load_generator.ts
+++ b/packages/experiment/src/load/load_generator.ts
@@ -4,10 +4,10 @@
 import type {Profile} from '@pistachiorill/launcher';
 import type {HistoryEvent} from '../history/history_event.js';
 import {AcknowledgedWrites} from './acknowledged_writes.js';
-import {LoadSession, PATIENCE_MS} from './load_session.js';
-import type {ClientTarget, SessionTools} from './load_session.js';
+import {LoadSession, CLIENT_TIMEOUT_MS} from './load_session.js';
+import type {ClientTarget, SessionDependencies} from './load_session.js';
 import {planArrivals} from './plan_arrivals.js';
-import type {ArrivalPlan, PlannedRequest} from './plan_arrivals.js';
+import type {LoadPlan, PlannedRequest} from './plan_arrivals.js';
 import type {RequestRecord} from './request_record.js';
 
 /** The maximum number of concurrent requests of one workspace. */
@@ -43,7 +43,7 @@
 
   constructor(
     profile: Profile,
-    plan: ArrivalPlan,
+    plan: LoadPlan,
     targets: () => readonly ClientTarget[],
     seed: number,
   ) {
@@ -57,7 +57,7 @@
       ]),
     );
     this.databaseOf = workspace => databaseByWorkspace.get(workspace) ?? '';
-    const deps: SessionTools = {
+    const deps: SessionDependencies = {
       service: profile.service,
       targets,
       random,
@@ -128,9 +128,9 @@
     while (request) {
       const lateMs = this.clock() - request.plannedAt;
       this.requests.push(
-        lateMs > PATIENCE_MS
+        lateMs > CLIENT_TIMEOUT_MS
           ? this.abandoned(request)
-          : await session.perform(request),
+          : await session.runRequest(request),
       );
       request = load.waiting.shift();
     }
--- a/packages/experiment/src/load/load_session.ts
+++ b/packages/experiment/src/load/load_session.ts
@@ -11,7 +11,7 @@
 const VM_SWITCH_SHARE = 0.1;
 const MAX_ATTEMPTS = 4;
 /** A client gives up this long after the planned time of a request. */
-export const PATIENCE_MS = 5_000;
+export const CLIENT_TIMEOUT_MS = 5_000;
 const STALE_AGE_MS = 1_000;
 const LOOKUP_AGE_MS = 2_000;
 
@@ -35,7 +35,7 @@
 }
 
 /** The collaborators that all sessions of a run share. */
-export interface SessionTools {
+export interface SessionDependencies {
   readonly service: string;
   readonly targets: () => readonly ClientTarget[];
   readonly random: Random;
@@ -57,13 +57,13 @@
   constructor(
     private readonly workspace: WorkspaceProfile,
     private readonly acknowledged: AcknowledgedWrites,
-    private readonly deps: SessionTools,
+    private readonly deps: SessionDependencies,
   ) {
     this.id = deps.nextId();
   }
 
   /** Sends a request, and resends it through other VMs where that is safe. */
-  async perform(request: PlannedRequest): Promise<RequestRecord> {
+  async runRequest(request: PlannedRequest): Promise<RequestRecord> {
     const {random, clock} = this.deps;
     if (random.fraction() < VM_SWITCH_SHARE) this.disconnect();
     const attempt = this.prepare(request);
@@ -77,7 +77,7 @@
         interruptions += 1;
         this.disconnect();
       }
-      if (clock() > request.plannedAt + PATIENCE_MS) break;
+      if (clock() > request.plannedAt + CLIENT_TIMEOUT_MS) break;
       if (answer.outcome === 'unknown') {
         if (request.kind === 'transaction' || remainingResends === 0) break;
         remainingResends -= 1;
--- a/packages/experiment/src/load/plan_arrivals.ts
+++ b/packages/experiment/src/load/plan_arrivals.ts
@@ -14,7 +14,7 @@
 }
 
 /** The duration and intensity of the load. */
-export interface ArrivalPlan {
+export interface LoadPlan {
   readonly durationMs: number;
   /** Offered statements as a share of each workspace's rate. */
   readonly load: number;
@@ -36,7 +36,7 @@
  */
 export function planArrivals(
   workspaces: readonly WorkspaceProfile[],
-  plan: ArrivalPlan,
+  plan: LoadPlan,
   random: Random,
 ): PlannedRequest[] {
   return workspaces
@@ -46,7 +46,7 @@
 
 function planWorkspace(
   workspace: WorkspaceProfile,
-  plan: ArrivalPlan,
+  plan: LoadPlan,
   random: Random,
 ): PlannedRequest[] {
   const factor = plan.factors.get(workspace.name) ?? 1;
--- a/packages/experiment/src/load/request_kind.ts
+++ b/packages/experiment/src/load/request_kind.ts
@@ -3,7 +3,7 @@
   'write' | 'note' | 'strict-read' | 'stale-read' | 'own-read' | 'transaction';
 
 /** The frequency and the cost of a kind of request. */
-export interface KindShape {
+export interface RequestShape {
   /** Share of the requests, in percent. */
   readonly weight: number;
   /** Statements per request, including the one that reads the token. */
@@ -11,7 +11,7 @@
 }
 
 /** The mix of requests of each workspace; the weights add up to 100. */
-export const REQUEST_MIX: Readonly<Record<RequestKind, KindShape>> = {
+export const REQUEST_MIX: Readonly<Record<RequestKind, RequestShape>> = {
   write: {weight: 25, statements: 2},
   note: {weight: 10, statements: 2},
   'strict-read': {weight: 10, statements: 1},
--- a/packages/experiment/src/measure/document_slope.ts
+++ b/packages/experiment/src/measure/document_slope.ts
@@ -2,10 +2,10 @@
 import {performance} from 'node:perf_hooks';
 import {parseDocument} from '@pistachiorill/document';
 import {
-  AUTHORITY,
+  AUTHORITY_PROFILE,
   databaseNames,
   memberName,
-  writeDocument,
+  renderDocument,
 } from '@pistachiorill/launcher';
 import {textTable} from '../report/text_table.js';
 
@@ -14,14 +14,14 @@
 const FIRST_PORT = 10_000;
 
 const rows = DATABASE_COUNTS.map(databaseCount => {
-  const profile = {...AUTHORITY, databaseCount};
+  const profile = {...AUTHORITY_PROFILE, databaseCount};
   const servers = databaseNames(profile).flatMap(database =>
     profile.dataCentres.map(dataCentre => memberName(database, dataCentre)),
   );
   const addresses = new Map(
     servers.map((name, index) => [name, `10.0.0.1:${FIRST_PORT + index}`]),
   );
-  const body = writeDocument(profile, addresses);
+  const body = renderDocument(profile, addresses);
   const times = Array.from({length: ROUNDS}, () => parsingTimeMs(body)).sort(
     (a, b) => a - b,
   );
--- a/packages/experiment/src/measure/slopes.ts
+++ b/packages/experiment/src/measure/slopes.ts
@@ -5,7 +5,7 @@
 import {createConnection} from 'mysql2/promise';
 import type {Connection} from 'mysql2/promise';
 import {fileURLToPath} from 'node:url';
-import {AUTHORITY, Fleet} from '@pistachiorill/launcher';
+import {AUTHORITY_PROFILE, Fleet} from '@pistachiorill/launcher';
 import type {Profile} from '@pistachiorill/launcher';
 import {textTable} from '../report/text_table.js';
 import {readVmResources} from './vm_resources.js';
@@ -19,7 +19,11 @@
 const CONNECT_BATCH_SIZE = 50;
 const MEGABYTE = 1_048_576;
 
-const SMALL_PROFILE: Profile = {...AUTHORITY, databaseCount: 1, vmCount: 3};
+const SMALL_PROFILE: Profile = {
+  ...AUTHORITY_PROFILE,
+  databaseCount: 1,
+  vmCount: 3,
+};
 
 /** The mean CPU share and memory of a fleet's VMs without statements. */
 interface IdleCost {
--- a/packages/experiment/src/measures/compute_measures.ts
+++ b/packages/experiment/src/measures/compute_measures.ts
@@ -10,12 +10,12 @@
 import type {ReadSample} from './read_sampler.js';
 
 /** The latency up to which a request counts as answered in time. */
-export const IN_TIME_MS = 500;
+export const MAX_IN_TIME_LATENCY_MS = 500;
 
 const HIGHEST_LATENCY_US = 60_000_000;
 
 /** The measured part of a run, in milliseconds after its start. */
-export interface Window {
+export interface MeasuredWindow {
   readonly fromMs: number;
   readonly toMs: number;
 }
@@ -24,7 +24,7 @@
 export function computeMeasures(
   records: readonly RequestRecord[],
   samples: readonly ReadSample[],
-  window: Window,
+  window: MeasuredWindow,
 ): Measures {
   const counted = records.filter(
     ({plannedAt}) => plannedAt >= window.fromMs && plannedAt < window.toMs,
@@ -80,7 +80,7 @@
     records.filter(
       item =>
         item.result === 'answered' &&
-        item.endedAt - item.plannedAt <= IN_TIME_MS,
+        item.endedAt - item.plannedAt <= MAX_IN_TIME_LATENCY_MS,
     ).length,
   );
   const refused = records.filter(item => item.result === 'refused').length;
@@ -97,7 +97,7 @@
 function measureGap(
   database: string,
   records: readonly RequestRecord[],
-  window: Window,
+  window: MeasuredWindow,
 ): GapMeasure {
   const times = records
     .filter(
@@ -120,7 +120,7 @@
 
 function measureSeconds(
   records: readonly RequestRecord[],
-  window: Window,
+  window: MeasuredWindow,
 ): SecondMeasure[] {
   const first = Math.floor(window.fromMs / 1_000);
   const end = Math.floor(window.toMs / 1_000);
@@ -132,7 +132,7 @@
     const answered = planned.filter(
       record =>
         record.result === 'answered' &&
-        record.endedAt - record.plannedAt <= IN_TIME_MS,
+        record.endedAt - record.plannedAt <= MAX_IN_TIME_LATENCY_MS,
     ).length;
     return {
       second,
@@ -145,7 +145,7 @@
 
 function replicaShare(
   samples: readonly ReadSample[],
-  window: Window,
+  window: MeasuredWindow,
 ): number | undefined {
   const counted = samples.filter(sample => sample.at >= window.fromMs);
   const replica = total(counted, sample => sample.replica);
--- a/packages/experiment/src/quota/__tests__/rate_refusals.test.ts
+++ b/packages/experiment/src/quota/__tests__/rate_refusals.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {simulateQuota} from '../quota_simulation.js';
-import type {Scenario} from '../quota_simulation.js';
+import type {QuotaScenario} from '../quota_simulation.js';
 import {rateScenarios} from '../rate_scenarios.js';
 
 const MAX_REFUSED_SHARE = 0.001;
@@ -9,13 +9,13 @@
  * Runs a scenario for a shorter time if its fleet is large. The program
  * `measure_rates` runs all scenarios for the full time.
  */
-function refusedShare(scenario: Scenario): number {
+function refusedShare(scenario: QuotaScenario): number {
   const measuredMs = scenario.vms > 8 ? 20_000 : 60_000;
   const {offered, refused} = simulateQuota({...scenario, measuredMs});
   return refused / offered;
 }
 
-function isKnownFailure({vms, spread, limits}: Scenario): boolean {
+function isKnownFailure({vms, spread, limits}: QuotaScenario): boolean {
   return vms === 50 && spread === 'all-vms' && limits.rate === 50;
 }
 
--- a/packages/experiment/src/quota/quota_simulation.ts
+++ b/packages/experiment/src/quota/quota_simulation.ts
@@ -1,7 +1,7 @@
 import {
-  ADMIT_WAIT_MS,
+  MAX_ADMISSION_WAIT_MS,
   Random,
-  WHOLE_PPM,
+  FULL_SHARE_PPM,
   decideQuota,
   newQuotaState,
 } from '@pistachiorill/core';
@@ -16,7 +16,7 @@
 const TICK_MS = 20;
 
 /** A fleet of VMs and the load of one workspace that it admits. */
-export interface Scenario {
+export interface QuotaScenario {
   readonly vms: number;
   /** The limits of the workspace. */
   readonly limits: QuotaLimits;
@@ -46,7 +46,7 @@
 }
 
 /** Simulates the quota decisions of a fleet in virtual time, without faults. */
-export function simulateQuota(scenario: Scenario): SimulationResult {
+export function simulateQuota(scenario: QuotaScenario): SimulationResult {
   return new QuotaSimulation(scenario).run();
 }
 
@@ -62,13 +62,13 @@
   private requests = 0;
   private waited = 0;
 
-  constructor(private readonly scenario: Scenario) {
+  constructor(private readonly scenario: QuotaScenario) {
     this.random = new Random(scenario.seed);
     const names = Array.from({length: scenario.vms}, (_, i) => `vm${i}`);
     this.states = names.map(name => newQuotaState(name));
     names.forEach((name, vm) => {
       const limits = new Map([[WORKSPACE, scenario.limits]]);
-      const sharePpm = Math.floor(WHOLE_PPM / scenario.vms);
+      const sharePpm = Math.floor(FULL_SHARE_PPM / scenario.vms);
       this.decide(vm, {kind: 'limits', limits});
       this.decide(vm, {kind: 'share', sharePpm, confirmedUntil: Infinity});
       this.decide(vm, {
@@ -80,7 +80,7 @@
 
   run(): SimulationResult {
     const {warmUpMs, measuredMs} = this.scenario;
-    const end = warmUpMs + measuredMs + ADMIT_WAIT_MS + TICK_MS;
+    const end = warmUpMs + measuredMs + MAX_ADMISSION_WAIT_MS + TICK_MS;
     this.scheduleArrival(0);
     for (; this.now < end; this.now++) {
       this.states.forEach((_, vm) => {
@@ -116,8 +116,13 @@
       const ticket = ++this.lastTicket;
       this.arrivals.set(ticket, this.now);
       if (this.isMeasured(this.now)) this.offered++;
-      const until = this.now + ADMIT_WAIT_MS;
-      this.decide(vm, {kind: 'admit', workspace: WORKSPACE, ticket, until});
+      const until = this.now + MAX_ADMISSION_WAIT_MS;
+      this.decide(vm, {
+        kind: 'admit',
+        workspace: WORKSPACE,
+        ticket,
+        deadline: until,
+      });
     });
   }
 
--- a/packages/experiment/src/quota/rate_scenarios.ts
+++ b/packages/experiment/src/quota/rate_scenarios.ts
@@ -1,13 +1,13 @@
-import type {Scenario} from './quota_simulation.js';
+import type {QuotaScenario} from './quota_simulation.js';
 
 /** The load of a workspace as a share of its rate. */
 const DEMAND_SHARE = 0.9;
 
 /** Returns the scenarios for which the design states a target. */
 export function rateScenarios(
-  arrivals: Scenario['arrivals'],
+  arrivals: QuotaScenario['arrivals'],
   seed: number,
-): Scenario[] {
+): QuotaScenario[] {
   return [50, 200].flatMap(rate =>
     (['one-vm', 'all-vms'] as const).flatMap(spread =>
       [1, 8, 50].map(vms => ({
--- a/packages/experiment/src/scenarios/data_centre_out_scenario.ts
+++ b/packages/experiment/src/scenarios/data_centre_out_scenario.ts
@@ -1,5 +1,5 @@
 import type {RequestRecord} from '../load/request_record.js';
-import {RUN, Scenario} from './scenario.js';
+import {SCENARIO_RAN, Scenario} from './scenario.js';
 import type {ScenarioContext, ScenarioOutcome} from './scenario.js';
 
 const OUT_AT_SHARE = 0.25;
@@ -29,10 +29,10 @@
     this.outOfService = {dataCentre: name, from, to: clock()};
     mark(`${name} back`);
     await fleet.promote();
-    return RUN;
+    return SCENARIO_RAN;
   }
 
-  override review(requests: readonly RequestRecord[]): string[] {
+  override notesOn(requests: readonly RequestRecord[]): string[] {
     const {outOfService} = this;
     if (!outOfService || outOfService.from >= outOfService.to) {
       return [
--- a/packages/experiment/src/scenarios/find_primary.ts
+++ b/packages/experiment/src/scenarios/find_primary.ts
@@ -8,7 +8,7 @@
 const FIND_INTERVAL_MS = 50;
 
 /** A member that responded, with the state that it reported. */
-export interface KnownMember {
+export interface RespondingMember {
   readonly name: string;
   readonly state: MemberState;
 }
@@ -23,7 +23,7 @@
 export async function reachableMembers(
   fleet: Fleet,
   database: string,
-): Promise<KnownMember[]> {
+): Promise<RespondingMember[]> {
   const names = fleet.profile.dataCentres.map(dataCentre =>
     memberName(database, dataCentre),
   );
@@ -39,7 +39,7 @@
 export async function findPrimary(
   fleet: Fleet,
   database: string,
-): Promise<KnownMember | undefined> {
+): Promise<RespondingMember | undefined> {
   const members = await reachableMembers(fleet, database);
   return members
     .filter(({state}) => state.role === 'primary')
@@ -53,7 +53,7 @@
 export async function waitForPrimary(
   fleet: Fleet,
   database: string,
-): Promise<KnownMember | undefined> {
+): Promise<RespondingMember | undefined> {
   const until = performance.now() + FIND_TIMEOUT_MS;
   for (;;) {
     const primary = await findPrimary(fleet, database);
--- a/packages/experiment/src/scenarios/noisy_workspace_scenario.ts
+++ b/packages/experiment/src/scenarios/noisy_workspace_scenario.ts
@@ -1,5 +1,5 @@
 import type {Profile} from '@pistachiorill/launcher';
-import {RUN, Scenario} from './scenario.js';
+import {SCENARIO_RAN, Scenario} from './scenario.js';
 import type {ScenarioOutcome} from './scenario.js';
 
 /** Results in five times the rate, as the usual load is half of the rate. */
@@ -9,11 +9,11 @@
 export class NoisyWorkspaceScenario extends Scenario {
   override readonly name = 'noisy-workspace';
 
-  override factors(profile: Profile): ReadonlyMap<string, number> {
+  override loadFactors(profile: Profile): ReadonlyMap<string, number> {
     return new Map([[profile.workspaces[0]?.name ?? '', LOAD_FACTOR]]);
   }
 
   override async inject(): Promise<ScenarioOutcome> {
-    return RUN;
+    return SCENARIO_RAN;
   }
 }
--- a/packages/experiment/src/scenarios/platform_down_scenario.ts
+++ b/packages/experiment/src/scenarios/platform_down_scenario.ts
@@ -1,4 +1,4 @@
-import {RUN, Scenario} from './scenario.js';
+import {SCENARIO_RAN, Scenario} from './scenario.js';
 import type {ScenarioContext, ScenarioOutcome} from './scenario.js';
 
 const DOWN_AT_SHARE = 0.25;
@@ -12,10 +12,10 @@
     const {fleet, until, mark} = context;
     await until(DOWN_AT_SHARE);
     mark('platform down');
-    await fleet.platformFault('outage');
+    await fleet.setPlatformFault('outage');
     await until(BACK_AT_SHARE);
     mark('platform back');
-    await fleet.platformFault('none');
-    return RUN;
+    await fleet.setPlatformFault('none');
+    return SCENARIO_RAN;
   }
 }
--- a/packages/experiment/src/scenarios/replicas_behind_scenario.ts
+++ b/packages/experiment/src/scenarios/replicas_behind_scenario.ts
@@ -1,5 +1,5 @@
 import type {Profile} from '@pistachiorill/launcher';
-import {RUN, Scenario} from './scenario.js';
+import {SCENARIO_RAN, Scenario} from './scenario.js';
 import type {ScenarioOutcome} from './scenario.js';
 
 /** Longer than the maximum age of every read in the load. */
@@ -14,6 +14,6 @@
   }
 
   override async inject(): Promise<ScenarioOutcome> {
-    return RUN;
+    return SCENARIO_RAN;
   }
 }
--- a/packages/experiment/src/scenarios/run_scenario.ts
+++ b/packages/experiment/src/scenarios/run_scenario.ts
@@ -7,7 +7,7 @@
 import {ReadSampler} from '../measures/read_sampler.js';
 import {readContents} from './read_contents.js';
 import type {Scenario} from './scenario.js';
-import type {Mark, ScenarioRun} from './scenario_run.js';
+import type {TimelineMark, ScenarioRun} from './scenario_run.js';
 
 /** The load of each workspace as a share of its rate. */
 const LOAD_SHARE = 0.5;
@@ -61,12 +61,12 @@
   const plan = {
     durationMs,
     load: LOAD_SHARE,
-    factors: scenario.factors(profile),
+    factors: scenario.loadFactors(profile),
   };
   const generator = new LoadGenerator(profile, plan, () => fleet.vms, seed);
   const clock = () => generator.clock();
   const sampler = new ReadSampler(() => fleet.vms, clock);
-  const marks: Mark[] = [];
+  const marks: TimelineMark[] = [];
   const loadRun = generator.run();
   await sampler.start();
   const outcome = await scenario.inject({
@@ -89,7 +89,7 @@
     outcome,
     reads: sampler.samples,
     marks,
-    notes: [...notes, ...scenario.review(load.requests)],
+    notes: [...notes, ...scenario.notesOn(load.requests)],
     generatorDelayMs: load.generatorDelayMs,
   };
   if (outcome.kind === 'not-available') return result;
--- a/packages/experiment/src/scenarios/scenario.ts
+++ b/packages/experiment/src/scenarios/scenario.ts
@@ -40,12 +40,12 @@
   }
 
   /** Returns factors of the usual load, by workspace; the default is 1. */
-  factors(unusedProfile: Profile): ReadonlyMap<string, number> {
+  loadFactors(unusedProfile: Profile): ReadonlyMap<string, number> {
     return new Map();
   }
 
   /** Returns notes on the requests that are specific to the scenario. */
-  review(unusedRequests: readonly RequestRecord[]): string[] {
+  notesOn(unusedRequests: readonly RequestRecord[]): string[] {
     return [];
   }
 
@@ -54,4 +54,4 @@
 }
 
 /** The outcome of a scenario that has run with its fault, if it has one. */
-export const RUN: ScenarioOutcome = {kind: 'run'};
+export const SCENARIO_RAN: ScenarioOutcome = {kind: 'run'};
--- a/packages/experiment/src/scenarios/scenario_run.ts
+++ b/packages/experiment/src/scenarios/scenario_run.ts
@@ -4,7 +4,7 @@
 import type {ScenarioName, ScenarioOutcome} from './scenario.js';
 
 /** An event that the report shows on its time axis. */
-export interface Mark {
+export interface TimelineMark {
   /** Milliseconds since the start of the load. */
   readonly at: number;
   readonly label: string;
@@ -23,7 +23,7 @@
   readonly measures?: Measures;
   readonly check?: CheckResult;
   readonly reads: readonly ReadSample[];
-  readonly marks: readonly Mark[];
+  readonly marks: readonly TimelineMark[];
   readonly notes: readonly string[];
   /** p99 of the load generator's event loop delay. */
   readonly generatorDelayMs: number;
--- a/packages/experiment/src/scenarios/steady_scenario.ts
+++ b/packages/experiment/src/scenarios/steady_scenario.ts
@@ -1,4 +1,4 @@
-import {RUN, Scenario} from './scenario.js';
+import {SCENARIO_RAN, Scenario} from './scenario.js';
 import type {ScenarioOutcome} from './scenario.js';
 
 /** No fault; each workspace sends half of its rate. */
@@ -6,6 +6,6 @@
   override readonly name = 'steady';
 
   override async inject(): Promise<ScenarioOutcome> {
-    return RUN;
+    return SCENARIO_RAN;
   }
 }
--- a/packages/experiment/src/scenarios/vms_restarted_scenario.ts
+++ b/packages/experiment/src/scenarios/vms_restarted_scenario.ts
@@ -1,4 +1,4 @@
-import {RUN, Scenario} from './scenario.js';
+import {SCENARIO_RAN, Scenario} from './scenario.js';
 import type {ScenarioContext, ScenarioOutcome} from './scenario.js';
 
 const FIRST_AT_SHARE = 0.2;
@@ -21,6 +21,6 @@
       await fleet.restartVm(name);
       if (exitCode !== 0) mark(`${name} ended with exit code ${exitCode}`);
     }
-    return RUN;
+    return SCENARIO_RAN;
   }
 }
--- a/packages/gateway/src/daemon/daemon_peer_handlers.ts
+++ b/packages/gateway/src/daemon/daemon_peer_handlers.ts
@@ -1,4 +1,4 @@
-import type {LogPosition, PrimarySighting} from '@pistachiorill/core';
+import type {LogPosition, PrimaryObservation} from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
 import type {DatabaseTask} from '../database/database_task.js';
 import type {FleetTask, RelayedRows} from '../fleet/fleet_task.js';
@@ -14,7 +14,7 @@
 import type {QuotaTask} from '../quota/quota_task.js';
 
 /** The tasks that answer peers' requests. */
-export interface PeerHandlerTools {
+export interface PeerHandlerDependencies {
   readonly database: (group: string) => DatabaseTask | undefined;
   readonly fleet: FleetTask;
   readonly leadership: LeadershipTask;
@@ -25,7 +25,7 @@
 
 /** Forwards each peer request to the task that owns the state in question. */
 export class DaemonPeerHandlers extends GatewayHandlers {
-  constructor(private readonly deps: PeerHandlerTools) {
+  constructor(private readonly deps: PeerHandlerDependencies) {
     super();
   }
 
@@ -50,7 +50,7 @@
     return {seen: seen ?? null};
   }
 
-  override async sight(group: string): Promise<PrimarySighting> {
+  override async sight(group: string): Promise<PrimaryObservation> {
     const database = this.deps.database(group);
     if (!database) return 'unknown';
     return ask(reply => database.tell({kind: 'sight', reply}));
--- a/packages/gateway/src/daemon/database_set.ts
+++ b/packages/gateway/src/daemon/database_set.ts
@@ -1,12 +1,15 @@
-import type {PrimaryRight, VersionedLeadership} from '@pistachiorill/core';
+import type {
+  PrimaryLeaseDecision,
+  VersionedLeadership,
+} from '@pistachiorill/core';
 import type {Clock} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
 import {DatabaseTask} from '../database/database_task.js';
-import {rightOf} from '../fleet/fleet_view.js';
+import {primaryLeaseOf} from '../fleet/fleet_view.js';
 import type {FleetView} from '../fleet/fleet_view.js';
 import type {OperatorState} from '../ports/configuration_source.js';
 import type {ListedMember} from '../ports/member_directory.js';
-import type {MemberLinks} from '../ports/member_link.js';
+import type {MemberLinkFactory} from '../ports/member_link.js';
 import type {GatewaySettings} from './gateway_settings.js';
 
 /** A suspicion is raised several times within this time while it lasts. */
@@ -15,9 +18,9 @@
 const ISOLATED_AFTER_MS = 600;
 
 /** Collaborators for opening the groups' tasks. */
-export interface DatabaseSetTools {
+export interface DatabaseSetDependencies {
   readonly settings: GatewaySettings;
-  readonly links: MemberLinks;
+  readonly links: MemberLinkFactory;
   readonly view: () => FleetView;
   readonly onSuspect: (group: string, primary: string, since: number) => void;
   readonly clock: Clock;
@@ -41,7 +44,7 @@
   private members: readonly ListedMember[] = [];
   private vmCount = 1;
 
-  constructor(private readonly deps: DatabaseSetTools) {}
+  constructor(private readonly deps: DatabaseSetDependencies) {}
 
   get groups(): readonly string[] {
     return [...this.tasks.keys()];
@@ -56,7 +59,7 @@
   }
 
   /** Opens and closes groups as the operators' state says. */
-  showOperators(state: OperatorState): void {
+  updateOperatorState(state: OperatorState): void {
     this.operators = state;
     const groups = state.configuration?.groups ?? new Map();
     for (const group of groups.keys()) {
@@ -71,13 +74,13 @@
   }
 
   /** Sends the new list of members to the groups' tasks. */
-  showMembers(members: readonly ListedMember[]): void {
+  updateMembers(members: readonly ListedMember[]): void {
     this.members = members;
     this.sendViews();
   }
 
   /** Sends the recorded primaries, and the number of VMs if it changed. */
-  showFleet(view: FleetView): void {
+  updateFleet(view: FleetView): void {
     for (const [group, task] of this.tasks) {
       const leadership = view.rows.leadership.get(group);
       task.tell({kind: 'leadership', leadership});
@@ -92,7 +95,7 @@
    * Whether most primaries are unreachable from this VM. VMs of another data
    * centre then serve callers better.
    */
-  isCutOff(now: number): boolean {
+  isIsolated(now: number): boolean {
     const unreached = [...this.suspicions].filter(
       ([group, {since, at}]) =>
         this.tasks.has(group) &&
@@ -114,8 +117,8 @@
       regionOf: dataCentre => regions[dataCentre] ?? '',
       links,
       clock,
-      right: leadership => this.rightOf(group, leadership),
-      onSuspect: (name, primary, since) => {
+      primaryLease: leadership => this.rightOf(group, leadership),
+      onPrimaryUnreachable: (name, primary, since) => {
         this.suspicions.set(name, {since, at: clock()});
         onSuspect(name, primary, since);
       },
@@ -136,12 +139,12 @@
   private rightOf(
     group: string,
     known: VersionedLeadership | undefined,
-  ): PrimaryRight {
+  ): PrimaryLeaseDecision {
     const view = this.deps.view();
     const newest = view.rows.leadership.get(group);
     const leadership =
       newest && newest.version > (known?.version ?? 0) ? newest : known;
-    return rightOf(view, leadership, this.deps.clock());
+    return primaryLeaseOf(view, leadership, this.deps.clock());
   }
 
   private sendViews(): void {
--- a/packages/gateway/src/daemon/gateway_daemon.ts
+++ b/packages/gateway/src/daemon/gateway_daemon.ts
@@ -5,7 +5,7 @@
 import type {
   RowTransaction,
   StoreWriteError,
-  TransactionAnswer,
+  TransactionResult,
   TransactionalStore,
 } from '@pistachiorill/store';
 import type {Result} from '@pistachiorill/core';
@@ -16,7 +16,7 @@
 import {FleetTask} from '../fleet/fleet_task.js';
 import {EMPTY_FLEET_VIEW, isProven, provenShares} from '../fleet/fleet_view.js';
 import type {FleetView} from '../fleet/fleet_view.js';
-import {ShareKeeper} from '../fleet/share_keeper.js';
+import {ShareAllocator} from '../fleet/share_keeper.js';
 import {LeadershipTask} from '../leadership/leadership_task.js';
 import {ConfigurationTask} from '../operators/configuration_task.js';
 import {DirectoryTask} from '../operators/directory_task.js';
@@ -28,8 +28,8 @@
   OperatorState,
 } from '../ports/configuration_source.js';
 import type {ListedMember, MemberDirectory} from '../ports/member_directory.js';
-import type {MemberLinks} from '../ports/member_link.js';
-import type {PrimaryOrders} from '../ports/primary_orders.js';
+import type {MemberLinkFactory} from '../ports/member_link.js';
+import type {PrimaryPromoter} from '../ports/primary_orders.js';
 import type {
   Readiness,
   ReadinessEndpoint,
@@ -40,7 +40,7 @@
 import {PlaceFilter} from '../session/place_filter.js';
 import {RouteFilter} from '../session/route_filter.js';
 import {SessionTask} from '../session/session_task.js';
-import type {SessionTools} from '../session/session_message.js';
+import type {SessionDependencies} from '../session/session_message.js';
 import {GatewayMetrics} from '../telemetry/gateway_metrics.js';
 import {DaemonPeerHandlers} from './daemon_peer_handlers.js';
 import type {GatewaySettings} from './gateway_settings.js';
@@ -58,10 +58,10 @@
 /** The adapters through which the gateway uses its platform. */
 export interface GatewayPorts {
   readonly callers: CallerServer;
-  readonly links: MemberLinks;
+  readonly links: MemberLinkFactory;
   readonly source: ConfigurationSource;
   readonly directory: MemberDirectory;
-  readonly orders: PrimaryOrders;
+  readonly orders: PrimaryPromoter;
   readonly store: TransactionalStore;
   readonly readiness: ReadinessEndpoint;
 }
@@ -84,11 +84,11 @@
   private readonly fleet: FleetTask;
   private readonly quota: QuotaTask;
   private readonly leadership: LeadershipTask;
-  private readonly shareAllocator: ShareKeeper;
+  private readonly shareAllocator: ShareAllocator;
   private readonly configuration: ConfigurationTask;
   private readonly directory: DirectoryTask;
   private readonly peerServer: PeerServer;
-  private readonly sessionDependencies: SessionTools;
+  private readonly sessionDependencies: SessionDependencies;
   private metricsServer: Server | undefined;
   private view: FleetView | undefined;
   private operators: OperatorState | undefined;
@@ -143,9 +143,9 @@
       },
       rateHolders: workspace => {
         const table = this.currentView().rows.shares?.value;
-        return table ? shares.homesOf(table, workspace) : [];
+        return table ? shares.rateHoldersOf(table, workspace) : [];
       },
-      knowsShares: () =>
+      hasProvenShares: () =>
         provenShares(this.currentView(), clock()) !== undefined,
       peers,
       log,
@@ -164,7 +164,7 @@
     });
     const transact = (
       transaction: RowTransaction,
-    ): Promise<Result<TransactionAnswer, StoreWriteError>> =>
+    ): Promise<Result<TransactionResult, StoreWriteError>> =>
       ask(reply => this.fleet.tell({kind: 'transact', transaction, reply}));
     this.leadership = new LeadershipTask({
       vm,
@@ -185,10 +185,10 @@
       orders: this.ports.orders,
       clock,
       log,
-      onMoved: outcome => this.metrics.primaryChanged(outcome),
+      onChangeEnded: outcome => this.metrics.primaryChanged(outcome),
       onFailed,
     });
-    this.shareAllocator = new ShareKeeper({
+    this.shareAllocator = new ShareAllocator({
       vm,
       view: () => this.currentView(),
       transact,
@@ -246,7 +246,7 @@
       ),
       database: group => this.databases.get(group),
       configuration: () => this.operators?.configuration,
-      refund: workspace => this.quota.tell({kind: 'refund', workspace}),
+      refundToken: workspace => this.quota.tell({kind: 'refund', workspace}),
       clock,
       log,
       metrics: this.metrics,
@@ -347,7 +347,7 @@
       this.members !== undefined &&
       this.view !== undefined &&
       isProven(this.view, this.clock()) &&
-      !this.databases.isCutOff(this.clock());
+      !this.databases.isIsolated(this.clock());
     return isReady ? 'ready' : 'not-ready';
   }
 
@@ -369,7 +369,7 @@
         .filter(([vm]) => vm !== self)
         .map(([vm, {value}]) => ({vm, address: value.peers})),
     );
-    this.databases.showFleet(view);
+    this.databases.updateFleet(view);
   }
 
   private applyOperatorState(state: OperatorState): void {
@@ -377,7 +377,7 @@
     this.operators = state;
     const {configuration} = state;
     if (!configuration) return;
-    this.databases.showOperators(state);
+    this.databases.updateOperatorState(state);
     this.quota.tell({
       kind: 'limits',
       limits: new Map(
@@ -390,6 +390,6 @@
 
   private applyMembers(members: readonly ListedMember[]): void {
     this.members = members;
-    this.databases.showMembers(members);
+    this.databases.updateMembers(members);
   }
 }
--- a/packages/gateway/src/database/__tests__/member_table.test.ts
+++ b/packages/gateway/src/database/__tests__/member_table.test.ts
@@ -47,7 +47,7 @@
     );
   }
   table.maintain(2_000);
-  for (const connection of granted) pool?.release(connection, 2_000);
+  for (const connection of granted) pool?.returnConnection(connection, 2_000);
   table.maintain(3_000);
   return pool?.size ?? -1;
 }
--- a/packages/gateway/src/database/control_connections.ts
+++ b/packages/gateway/src/database/control_connections.ts
@@ -1,6 +1,6 @@
 import {fail, ok} from '@pistachiorill/core';
 import type {ListedMember} from '../ports/member_directory.js';
-import type {MemberCommand, MemberLinks} from '../ports/member_link.js';
+import type {MemberCommand, MemberLinkFactory} from '../ports/member_link.js';
 import type {StatusResult} from './database_message.js';
 
 /** The time limit of each step: to connect, and to run the command. */
@@ -13,7 +13,7 @@
  * example because it has no free slot; another member at its address doesn't
  * count.
  */
-export function answersNow(status: StatusResult): boolean {
+export function isResponding(status: StatusResult): boolean {
   if (status.ok || status.err === 'unreadable') return true;
   return (
     status.err.kind === 'rejected' && status.err.error.kind !== 'wrong-member'
@@ -27,7 +27,7 @@
 export class ControlConnections {
   constructor(
     private readonly group: string,
-    private readonly links: MemberLinks,
+    private readonly links: MemberLinkFactory,
   ) {}
 
   /** Queries the member's status. */
@@ -55,7 +55,7 @@
       if (outcome.kind === 'error') {
         return fail({kind: 'rejected', error: outcome.error});
       }
-      const status = link.statusOf(sent.value);
+      const status = link.parseStatus(sent.value);
       return status ? ok(status) : fail('unreadable');
     } finally {
       link.close();
--- a/packages/gateway/src/database/database_message.ts
+++ b/packages/gateway/src/database/database_message.ts
@@ -1,15 +1,15 @@
 import type {
   GroupSettings,
   LogPosition,
-  PrimarySighting,
+  PrimaryObservation,
   Result,
   VersionedLeadership,
 } from '@pistachiorill/core';
 import type {Reply} from '@pistachiorill/tasks';
 import type {ListedMember} from '../ports/member_directory.js';
 import type {LinkFault, MemberStatus} from '../ports/member_link.js';
-import type {Lease, LeaseRefusal, LeaseRequest} from './lease.js';
-import type {HeardAnswer, MemberConnection} from './member_connection.js';
+import type {Checkout, CheckoutRefusal, CheckoutRequest} from './lease.js';
+import type {ResponseInfo, MemberConnection} from './member_connection.js';
 
 /** The status that a member reported, or why none was received. */
 export type StatusResult = Result<MemberStatus, LinkFault | 'unreadable'>;
@@ -38,7 +38,7 @@
  * Whether a member still holds the role in which its connection was checked
  * out. A result from an expired checkout must not be passed on.
  */
-export type LeaseValidity = 'valid' | 'expired';
+export type CheckoutValidity = 'valid' | 'expired';
 
 /** The messages that a group's task handles. */
 export type DatabaseMessage =
@@ -50,16 +50,16 @@
   /** Checks out a connection for a statement or transaction. */
   | {
       readonly kind: 'check-out';
-      readonly request: LeaseRequest;
-      readonly reply: Reply<Result<Lease, LeaseRefusal>>;
+      readonly request: CheckoutRequest;
+      readonly reply: Reply<Result<Checkout, CheckoutRefusal>>;
     }
   /** Returns a checked-out connection to its pool. */
-  | {readonly kind: 'return'; readonly checkout: Lease}
+  | {readonly kind: 'return'; readonly checkout: Checkout}
   /** Checks whether a result of a checkout's member may be passed on. */
   | {
       readonly kind: 'confirm';
-      readonly checkout: Lease;
-      readonly reply: Reply<LeaseValidity>;
+      readonly checkout: Checkout;
+      readonly reply: Reply<CheckoutValidity>;
     }
   /** A replica refused a statement because it lacked the required position. */
   | {
@@ -80,7 +80,7 @@
       readonly kind: 'answered';
       readonly member: string;
       readonly connection: MemberConnection;
-      readonly info: HeardAnswer;
+      readonly info: ResponseInfo;
       readonly at: number;
     }
   /** A request on a connection got no complete response. */
@@ -107,7 +107,7 @@
       readonly reply: Reply<LogPosition | undefined>;
     }
   /** Requests this VM's primary observation. */
-  | {readonly kind: 'sight'; readonly reply: Reply<PrimarySighting>}
+  | {readonly kind: 'sight'; readonly reply: Reply<PrimaryObservation>}
   /** Queries a member's status over a new connection. */
   | {
       readonly kind: 'status';
--- a/packages/gateway/src/database/database_task.ts
+++ b/packages/gateway/src/database/database_task.ts
@@ -1,40 +1,40 @@
 import {addPositionSample, fail, ok} from '@pistachiorill/core';
 import type {
   PositionSamples,
-  PrimarySighting,
+  PrimaryObservation,
   Result,
   VersionedLeadership,
 } from '@pistachiorill/core';
 import {Task} from '@pistachiorill/tasks';
 import type {Reply} from '@pistachiorill/tasks';
 import type {ListedMember} from '../ports/member_directory.js';
-import {ControlConnections, answersNow} from './control_connections.js';
+import {ControlConnections, isResponding} from './control_connections.js';
 import type {
   DatabaseMessage,
-  LeaseValidity,
+  CheckoutValidity,
   StatusResult,
   StopMode,
 } from './database_message.js';
-import type {DatabaseTools} from './database_tools.js';
-import type {Lease, LeaseRefusal, LeaseRequest} from './lease.js';
-import {leaseRefusal, poolRefusal} from './lease_refusals.js';
+import type {DatabaseDependencies} from './database_tools.js';
+import type {Checkout, CheckoutRefusal, CheckoutRequest} from './lease.js';
+import {checkoutRefusal, poolRefusal} from './lease_refusals.js';
 import {MemberConnection} from './member_connection.js';
 import {MemberTable} from './member_table.js';
 import {placeStatement} from './place_statement.js';
 import type {Placement} from './place_statement.js';
-import {PrimaryStops} from './primary_stops.js';
+import {PendingPrimaryStops} from './primary_stops.js';
 
 const TICK_MS = 50;
 
 type CheckoutMessage = Extract<DatabaseMessage, {kind: 'check-out'}>;
-type CheckoutReply = Reply<Result<Lease, LeaseRefusal>>;
+type CheckoutReply = Reply<Result<Checkout, CheckoutRefusal>>;
 
 /** Owns this VM's members, connections and leadership record of one group. */
 export class DatabaseTask extends Task<DatabaseMessage> {
   private leadership: VersionedLeadership | undefined;
   private samples: PositionSamples = [];
   private readonly members: MemberTable;
-  private readonly stops = new PrimaryStops();
+  private readonly stops = new PendingPrimaryStops();
   /** Members with a pending status probe. */
   private readonly probing = new Set<string>();
   /** Requests that wait until a primary change ends. */
@@ -44,7 +44,7 @@
 
   constructor(
     private readonly group: string,
-    private readonly deps: DatabaseTools,
+    private readonly deps: DatabaseDependencies,
   ) {
     super();
     this.control = new ControlConnections(group, deps.links);
@@ -79,7 +79,7 @@
         return;
       case 'return': {
         const {member, connection} = message.checkout;
-        this.members.pool(member)?.release(connection, now);
+        this.members.pool(member)?.returnConnection(connection, now);
         this.finishStops(now);
         return;
       }
@@ -207,7 +207,7 @@
     const placed = placeStatement(request, {
       members: this.members,
       samples: this.samples,
-      primaryLease: this.deps.right(this.leadership),
+      primaryLease: this.deps.primaryLease(this.leadership),
       record: this.leadership?.record,
       now,
     });
@@ -221,18 +221,18 @@
   }
 
   /** A replica's result stays valid: the replica had the required position. */
-  private validityOf({role, member}: Lease): LeaseValidity {
+  private validityOf({role, member}: Checkout): CheckoutValidity {
     return role === 'replica' || this.isPrimary(member) ? 'valid' : 'expired';
   }
 
   private isPrimary(member: string): boolean {
-    const lease = this.deps.right(this.leadership);
+    const lease = this.deps.primaryLease(this.leadership);
     return lease.kind === 'granted' && lease.primary === member;
   }
 
   private enqueue(
     placement: Placement,
-    request: LeaseRequest,
+    request: CheckoutRequest,
     reply: CheckoutReply,
     now: number,
   ): void {
@@ -276,7 +276,7 @@
     now: number,
   ): void {
     const {member, connection, fault} = message;
-    const effect = this.members.faulted(member, connection, fault, now);
+    const effect = this.members.recordFault(member, connection, fault, now);
     if (effect === 'failed') {
       this.logMember('member.fails', member, 'member does not respond', fault);
     }
@@ -295,16 +295,16 @@
     const record = this.leadership?.record;
     if (record?.phase !== 'settled') return;
     const {primary} = record;
-    if (this.members.sighting(primary, now) !== 'unreachable') return;
+    if (this.members.observation(primary, now) !== 'unreachable') return;
     const since = this.members.failingSince(primary) ?? now;
-    this.deps.onSuspect(this.group, primary, since);
+    this.deps.onPrimaryUnreachable(this.group, primary, since);
   }
 
   /**
    * Replies with this VM's observation of the primary, or of the one that is
    * being replaced. Queries the member's status unless it responded recently.
    */
-  private async sight(reply: Reply<PrimarySighting>): Promise<void> {
+  private async sight(reply: Reply<PrimaryObservation>): Promise<void> {
     const record = this.leadership?.record;
     const primary =
       (record?.phase === 'settled' ? record.primary : record?.from) ?? '';
@@ -312,14 +312,14 @@
       reply.answer('unknown');
       return;
     }
-    const seen = this.members.sighting(primary, this.deps.clock());
+    const seen = this.members.observation(primary, this.deps.clock());
     if (seen === 'reachable') {
       reply.answer(seen);
       return;
     }
     const status = await this.status(primary);
     const isReplica = status.ok && status.value.role === 'replica';
-    const isReachable = answersNow(status) && !isReplica;
+    const isReachable = isResponding(status) && !isReplica;
     reply.answer(isReachable ? 'reachable' : 'unreachable');
   }
 
@@ -341,7 +341,7 @@
 
   /** Probes failing members, so that no caller's statement has to. */
   private probeFailedMembers(now: number): void {
-    for (const listed of this.members.toProbe(now)) {
+    for (const listed of this.members.membersToProbe(now)) {
       const {member} = listed;
       if (this.probing.has(member)) continue;
       this.probing.add(member);
@@ -353,7 +353,7 @@
 
   private handleProbe(member: string, status: StatusResult, now: number): void {
     this.probing.delete(member);
-    if (!answersNow(status)) {
+    if (!isResponding(status)) {
       this.members.failed(member, now);
       return;
     }
@@ -372,7 +372,7 @@
     clearTimeout(this.ticker);
     this.members.abandonAll();
     for (const {reply} of this.deferred) {
-      reply.answer(fail(leaseRefusal('no-member', 'the VM stops')));
+      reply.answer(fail(checkoutRefusal('no-member', 'the VM stops')));
     }
     this.deferred = [];
   }
--- a/packages/gateway/src/database/database_tools.ts
+++ b/packages/gateway/src/database/database_tools.ts
@@ -1,22 +1,31 @@
-import type {PrimaryRight, VersionedLeadership} from '@pistachiorill/core';
+import type {
+  PrimaryLeaseDecision,
+  VersionedLeadership,
+} from '@pistachiorill/core';
 import type {Clock} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
-import type {MemberLinks} from '../ports/member_link.js';
+import type {MemberLinkFactory} from '../ports/member_link.js';
 
 /** The services of the VM that a group's task uses. */
-export interface DatabaseTools {
+export interface DatabaseDependencies {
   /** The location of this VM. */
   readonly vm: {readonly dataCentre: string; readonly region: string};
   readonly regionOf: (dataCentre: string) => string;
-  readonly links: MemberLinks;
+  readonly links: MemberLinkFactory;
   readonly clock: Clock;
   /** Returns whether this VM holds a valid primary lease at present. */
-  readonly right: (leadership: VersionedLeadership | undefined) => PrimaryRight;
+  readonly primaryLease: (
+    leadership: VersionedLeadership | undefined,
+  ) => PrimaryLeaseDecision;
   /**
    * Called repeatedly while the primary is unreachable; `since` is the time of
    * the first failure or of the oldest request without a response.
    */
-  readonly onSuspect: (group: string, primary: string, since: number) => void;
+  readonly onPrimaryUnreachable: (
+    group: string,
+    primary: string,
+    since: number,
+  ) => void;
   readonly log: Logger;
   /** Reports an unexpected exception. */
   readonly onFailed: (err: unknown) => void;
--- a/packages/gateway/src/database/lease.ts
+++ b/packages/gateway/src/database/lease.ts
@@ -2,7 +2,7 @@
 import type {MemberConnection} from './member_connection.js';
 
 /** Which members may run a statement. */
-export type LeaseNeed =
+export type CheckoutRequirement =
   /** The primary, while the VM holds a valid primary lease. */
   | {readonly kind: 'primary'}
   /** Any member whose data is recent enough for the route and the session. */
@@ -15,14 +15,14 @@
     };
 
 /** A request for a connection to a member that meets the requirement. */
-export interface LeaseRequest {
+export interface CheckoutRequest {
   readonly workspace: string;
   /** The session's values, to prefer a connection that has them set. */
   readonly values: SessionValues;
   readonly use: 'statement' | 'transaction';
-  readonly requirement: LeaseNeed;
+  readonly requirement: CheckoutRequirement;
   /** Members on which earlier attempts of this statement failed. */
-  readonly avoid: readonly string[];
+  readonly excluded: readonly string[];
   /** Regions whose members may run the statement; empty for all regions. */
   readonly regions: readonly string[];
   /** The time at which the wait for a connection ends. */
@@ -30,7 +30,7 @@
 }
 
 /** A connection that is checked out for one statement or transaction. */
-export interface Lease {
+export interface Checkout {
   readonly connection: MemberConnection;
   readonly member: string;
   /** The role in which the member is used. */
@@ -40,7 +40,7 @@
 }
 
 /** Why no connection was checked out. The statement was not run. */
-export interface LeaseRefusal {
+export interface CheckoutRefusal {
   readonly kind:
     | 'no-primary'
     /** A primary change is in progress. */
--- a/packages/gateway/src/database/lease_refusals.ts
+++ b/packages/gateway/src/database/lease_refusals.ts
@@ -1,5 +1,5 @@
-import type {PrimaryRight} from '@pistachiorill/core';
-import type {LeaseRefusal} from './lease.js';
+import type {PrimaryLeaseDecision} from '@pistachiorill/core';
+import type {CheckoutRefusal} from './lease.js';
 import type {PoolRefusal} from './member_pool.js';
 
 /** How soon a caller may retry a refused statement. */
@@ -8,10 +8,10 @@
 const PRIMARY_CHANGE_RETRY_AFTER_MS = 400;
 
 /** Creates a refusal with the retry delay of its kind. */
-export function leaseRefusal(
-  kind: LeaseRefusal['kind'],
+export function checkoutRefusal(
+  kind: CheckoutRefusal['kind'],
   detail: string,
-): LeaseRefusal {
+): CheckoutRefusal {
   const retryAfterMs =
     kind === 'primary-changing'
       ? PRIMARY_CHANGE_RETRY_AFTER_MS
@@ -20,31 +20,34 @@
 }
 
 /** Returns the refusal of a statement that requires a denied primary lease. */
-export function refusalOf(
-  reason: Extract<PrimaryRight, {kind: 'denied'}>['reason'],
-): LeaseRefusal {
+export function primaryLeaseRefusal(
+  reason: Extract<PrimaryLeaseDecision, {kind: 'denied'}>['reason'],
+): CheckoutRefusal {
   switch (reason) {
     case 'moving':
-      return leaseRefusal('primary-changing', 'the group gets another primary');
+      return checkoutRefusal(
+        'primary-changing',
+        'the group gets another primary',
+      );
     case 'no-record':
-      return leaseRefusal('no-primary', 'no primary is recorded');
+      return checkoutRefusal('no-primary', 'no primary is recorded');
     case 'proof-expired':
     case 'not-joined':
-      return leaseRefusal('no-primary-lease', reason);
+      return checkoutRefusal('no-primary-lease', reason);
   }
 }
 
 /** Returns the refusal of a statement that a pool's queue rejected. */
 export function poolRefusal(
   reason: Exclude<PoolRefusal, 'pool-drained'>,
-): LeaseRefusal {
+): CheckoutRefusal {
   switch (reason) {
     case 'queue-full':
-      return leaseRefusal(
+      return checkoutRefusal(
         'overloaded',
         'too many statements of the workspace wait',
       );
     case 'wait-timed-out':
-      return leaseRefusal('overloaded', 'no connection became free in time');
+      return checkoutRefusal('overloaded', 'no connection became free in time');
   }
 }
--- a/packages/gateway/src/database/member_connection.ts
+++ b/packages/gateway/src/database/member_connection.ts
@@ -1,6 +1,6 @@
 import {
-  EMPTY_CONTENTS,
-  afterPreparation,
+  EMPTY_SESSION_STATE,
+  applyPreparationStep,
   fail,
   ok,
   planPreparation,
@@ -8,7 +8,7 @@
 } from '@pistachiorill/core';
 import type {
   AttemptFailure,
-  ConnectionContents,
+  ConnectionSessionState,
   LogPosition,
   PreparedStatement,
   Result,
@@ -78,12 +78,12 @@
 /** Callbacks through which a connection reports on its member. */
 export interface ConnectionEvents {
   readonly onSent: () => void;
-  readonly onAnswered: (info: HeardAnswer) => void;
+  readonly onAnswered: (info: ResponseInfo) => void;
   readonly onFault: (fault: LinkFault) => void;
 }
 
 /** What a response shows about its member. */
-export interface HeardAnswer {
+export interface ResponseInfo {
   /** The time at which the request was sent. */
   readonly sentAt: number;
   readonly applied: LogPosition | undefined;
@@ -96,7 +96,7 @@
  * statements that the connection holds.
  */
 export class MemberConnection extends Task<ConnectionMessage> {
-  private contents: ConnectionContents = EMPTY_CONTENTS;
+  private contents: ConnectionSessionState = EMPTY_SESSION_STATE;
   private recordedState: ConnectionState = 'new';
 
   constructor(
@@ -198,7 +198,7 @@
     )) {
       const done = await this.runSetupCommand({command: step});
       if (!done.ok) return done;
-      this.contents = afterPreparation(this.contents, step);
+      this.contents = applyPreparationStep(this.contents, step);
     }
     if (job.begin === undefined) return ok(undefined);
     const begun = await this.runSetupCommand({
--- a/packages/gateway/src/database/member_health.ts
+++ b/packages/gateway/src/database/member_health.ts
@@ -1,4 +1,4 @@
-import type {LogPosition, PrimarySighting} from '@pistachiorill/core';
+import type {LogPosition, PrimaryObservation} from '@pistachiorill/core';
 
 /** The weight of the newest sample in the moving average of the latency. */
 const LATENCY_EWMA_WEIGHT = 0.1;
@@ -30,7 +30,7 @@
 }
 
 /** The health of a member without any response or failure so far. */
-export const NEW_MEMBER_HEALTH: MemberHealth = {
+export const INITIAL_MEMBER_HEALTH: MemberHealth = {
   meanLatencyMs: INITIAL_MEAN_LATENCY_MS,
   applied: undefined,
   lastAnswerAt: -Infinity,
@@ -95,11 +95,11 @@
  * Returns whether the member is reachable, given the time of its oldest request
  * without a response.
  */
-export function sightingOf(
+export function observationOf(
   health: MemberHealth,
   oldestPendingAt: number | undefined,
   now: number,
-): PrimarySighting {
+): PrimaryObservation {
   const isUnresponsive =
     oldestPendingAt !== undefined &&
     now - oldestPendingAt > UNRESPONSIVE_AFTER_MS &&
--- a/packages/gateway/src/database/member_pool.ts
+++ b/packages/gateway/src/database/member_pool.ts
@@ -1,9 +1,9 @@
-import {DeficitRoundRobinPolicy, sameValues} from '@pistachiorill/core';
+import {DeficitRoundRobinPolicy, haveSameValues} from '@pistachiorill/core';
 import type {SessionValues} from '@pistachiorill/core';
 import type {MemberConnection} from './member_connection.js';
 
 /** A statement's or transaction's demand for a connection. */
-export interface ConnectionWant {
+export interface ConnectionRequest {
   readonly workspace: string;
   readonly values: SessionValues;
   readonly use: 'statement' | 'transaction';
@@ -12,7 +12,7 @@
 }
 
 /** A queued request; either `grant` or `refuse` is called, once. */
-export interface PoolWaiter extends ConnectionWant {
+export interface PoolWaiter extends ConnectionRequest {
   readonly grant: (connection: MemberConnection) => void;
   readonly refuse: (reason: PoolRefusal) => void;
 }
@@ -99,7 +99,7 @@
   }
 
   /** Whether a request would be granted without waiting. */
-  canGrant(request: ConnectionWant, now: number): boolean {
+  canGrant(request: ConnectionRequest, now: number): boolean {
     if (this.queue.size > 0 || !this.hasSlot(request.use)) return false;
     return (
       this.hasIdle(request.workspace) ||
@@ -111,7 +111,9 @@
   /** Queues a request, or refuses it if the workspace's queue is full. */
   add(waiter: PoolWaiter, now: number): void {
     const {workspace, until} = waiter;
-    if (this.queue.enqueue({workspace, until, item: waiter}) === 'full') {
+    if (
+      this.queue.enqueue({workspace, deadline: until, item: waiter}) === 'full'
+    ) {
       waiter.refuse('queue-full');
       return;
     }
@@ -119,7 +121,7 @@
   }
 
   /** Takes a connection back and closes it unless it can be reused. */
-  release(connection: MemberConnection, now: number): void {
+  returnConnection(connection: MemberConnection, now: number): void {
     const item = this.connections.get(connection);
     if (!item) return;
     if (connection.state === 'clean') {
@@ -136,14 +138,14 @@
    * another one. The member counts the connections of all VMs, so the limit
    * grows again over time.
    */
-  memberFull(now: number): void {
+  lowerLimit(now: number): void {
     this.openBlockedUntil = now + OPEN_BACKOFF_MS;
     this.adaptiveLimit = Math.max(1, this.limits.share, this.connections.size);
     this.limitChangedAt = now;
   }
 
   /** Closes idle connections, as a dead one shows only when it is used. */
-  dropIdle(): void {
+  closeIdle(): void {
     for (const [connection, item] of this.connections) {
       if (item.use === 'idle') this.closeConnection(connection);
     }
@@ -159,7 +161,7 @@
 
   /** Closes idle connections and refuses all queued requests. */
   drain(): void {
-    this.dropIdle();
+    this.closeIdle();
     this.refuseWaiting('pool-drained');
   }
 
@@ -213,7 +215,7 @@
       const waiter = next.item;
       const connection = this.takeConnection(waiter, now);
       if (!connection) {
-        this.queue.putBack(next);
+        this.queue.requeue(next);
         return;
       }
       waiter.grant(connection);
@@ -221,7 +223,7 @@
   }
 
   private takeConnection(
-    request: ConnectionWant,
+    request: ConnectionRequest,
     now: number,
   ): MemberConnection | undefined {
     if (!this.hasSlot(request.use)) return undefined;
@@ -239,13 +241,13 @@
   }
 
   /** Prefers a connection on which the session's values are already set. */
-  private takeIdle(request: ConnectionWant): MemberConnection | undefined {
+  private takeIdle(request: ConnectionRequest): MemberConnection | undefined {
     let found: MemberConnection | undefined;
     for (const [connection, item] of this.connections) {
       if (item.use !== 'idle' || item.workspace !== request.workspace) continue;
       if (connection.state !== 'clean') continue;
       found = connection;
-      if (sameValues(connection.values, request.values)) break;
+      if (haveSameValues(connection.values, request.values)) break;
     }
     return found;
   }
@@ -255,7 +257,7 @@
    * for longest is closed first.
    */
   private openFor(
-    request: ConnectionWant,
+    request: ConnectionRequest,
     now: number,
   ): MemberConnection | undefined {
     if (now < this.openBlockedUntil) return undefined;
@@ -273,7 +275,7 @@
   }
 
   /** Transactions are limited by the number of connections only. */
-  private hasSlot(use: ConnectionWant['use']): boolean {
+  private hasSlot(use: ConnectionRequest['use']): boolean {
     if (use === 'transaction') return true;
     const running = this.count(item => item.use === 'statement');
     return running < this.limits.statements;
--- a/packages/gateway/src/database/member_table.ts
+++ b/packages/gateway/src/database/member_table.ts
@@ -2,20 +2,20 @@
   LogPosition,
   MemberLoad,
   MemberRole,
-  PrimarySighting,
+  PrimaryObservation,
 } from '@pistachiorill/core';
 import type {ListedMember} from '../ports/member_directory.js';
 import type {LinkFault} from '../ports/member_link.js';
 import {WarmupLimit} from './warmup_limit.js';
 import type {GroupView} from './database_message.js';
-import type {LeaseRequest} from './lease.js';
-import type {HeardAnswer, MemberConnection} from './member_connection.js';
+import type {CheckoutRequest} from './lease.js';
+import type {ResponseInfo, MemberConnection} from './member_connection.js';
 import {
-  NEW_MEMBER_HEALTH,
+  INITIAL_MEMBER_HEALTH,
   afterAnswer,
   afterBehind,
   afterFailure,
-  sightingOf,
+  observationOf,
 } from './member_health.js';
 import type {MemberHealth} from './member_health.js';
 import {MemberPool} from './member_pool.js';
@@ -31,7 +31,7 @@
 const RESERVED_CONTROL_CONNECTIONS = 1;
 
 /** The services that the table uses. */
-export interface MemberTableTools {
+export interface MemberTableDependencies {
   readonly vm: {readonly dataCentre: string; readonly region: string};
   readonly regionOf: (dataCentre: string) => string;
   /** Creates a connection to a member for a workspace. */
@@ -56,7 +56,7 @@
   private readonly entries = new Map<string, MemberEntry>();
   private dataCentresOut: ReadonlySet<string> = new Set();
 
-  constructor(private readonly deps: MemberTableTools) {}
+  constructor(private readonly deps: MemberTableDependencies) {}
 
   /** Applies the current settings and member list. */
   setView(view: GroupView, now: number): void {
@@ -103,7 +103,7 @@
       pool: new MemberPool(limits, workspace =>
         this.deps.open(listed, workspace),
       ),
-      health: NEW_MEMBER_HEALTH,
+      health: INITIAL_MEMBER_HEALTH,
       pending: new Map(),
       leavingSince: undefined,
       warmup: new WarmupLimit(),
@@ -132,7 +132,7 @@
 
   /** The health of a member; that of a new one if it is unknown. */
   health(member: string): MemberHealth {
-    return this.entries.get(member)?.health ?? NEW_MEMBER_HEALTH;
+    return this.entries.get(member)?.health ?? INITIAL_MEMBER_HEALTH;
   }
 
   /** Whether a member may receive new work. */
@@ -155,7 +155,7 @@
    * Admits one statement under the rate limit of a member that warms up.
    * Returns true for members without a limit.
    */
-  admitWarmingUp(member: string, now: number): boolean {
+  admitDuringWarmup(member: string, now: number): boolean {
     return this.entries.get(member)?.warmup.admit(now) ?? true;
   }
 
@@ -167,8 +167,8 @@
   }
 
   /** The members that may run a read, with their load. */
-  loads(
-    request: LeaseRequest,
+  readCandidates(
+    request: CheckoutRequest,
     roleOf: (member: string) => MemberRole | 'unusable',
     now: number,
   ): MemberLoad[] {
@@ -176,7 +176,7 @@
     for (const listed of this.all) {
       const {member} = listed;
       const role = roleOf(member);
-      if (role === 'unusable' || request.avoid.includes(member)) continue;
+      if (role === 'unusable' || request.excluded.includes(member)) continue;
       if (!this.accepts(listed)) continue;
       if (!this.isInRegions(listed, request.regions)) continue;
       const pool = this.pool(member);
@@ -187,11 +187,11 @@
         proximity: this.proximityOf(listed),
         inFlight: pool?.inFlight ?? 0,
         slots: listed.slots,
-        meanMs: health.meanLatencyMs,
+        meanLatencyMs: health.meanLatencyMs,
         connection: pool?.hasIdle(request.workspace) ? 'idle' : 'to-open',
         applied: health.applied,
         avoidUntil:
-          this.sighting(member, now) === 'unreachable'
+          this.observation(member, now) === 'unreachable'
             ? Math.max(now + 1, health.avoidUntil)
             : health.avoidUntil,
       });
@@ -208,7 +208,7 @@
   answered(
     member: string,
     connection: MemberConnection,
-    {sentAt, applied, work}: HeardAnswer,
+    {sentAt, applied, work}: ResponseInfo,
     at: number,
   ): boolean {
     this.entries.get(member)?.pending.delete(connection);
@@ -224,7 +224,7 @@
    * Records a fault; returns whether the member responded, failed for the first
    * time or failed again. A rejected connection is a response.
    */
-  faulted(
+  recordFault(
     member: string,
     connection: MemberConnection,
     fault: LinkFault,
@@ -233,13 +233,13 @@
     this.entries.get(member)?.pending.delete(connection);
     const pool = this.pool(member);
     if (fault.kind === 'rejected' && fault.error.kind !== 'wrong-member') {
-      if (fault.error.kind === 'too-many-connections') pool?.memberFull(now);
+      if (fault.error.kind === 'too-many-connections') pool?.lowerLimit(now);
       return 'answered';
     }
     const wasFailing = this.isFailing(member);
     this.failed(member, now);
     // The member's other connections may be dead as well.
-    if (fault.kind !== 'rejected') pool?.dropIdle();
+    if (fault.kind !== 'rejected') pool?.closeIdle();
     return wasFailing ? 'failed-again' : 'failed';
   }
 
@@ -266,8 +266,8 @@
   }
 
   /** Whether the member is reachable, as observed by this VM. */
-  sighting(member: string, now: number): PrimarySighting {
-    return sightingOf(this.health(member), this.oldestPending(member), now);
+  observation(member: string, now: number): PrimaryObservation {
+    return observationOf(this.health(member), this.oldestPending(member), now);
   }
 
   /** Since when the member has not responded, if it is failing. */
@@ -276,7 +276,7 @@
   }
 
   /** The failing members that are due for a status probe. */
-  toProbe(now: number): readonly ListedMember[] {
+  membersToProbe(now: number): readonly ListedMember[] {
     return this.all.filter(({member}) => {
       const {failingSince, avoidUntil} = this.health(member);
       return failingSince !== undefined && avoidUntil <= now;
--- a/packages/gateway/src/database/place_statement.ts
+++ b/packages/gateway/src/database/place_statement.ts
@@ -2,18 +2,18 @@
   fail,
   laterPosition,
   ok,
-  rankForRead,
+  rankMembersForRead,
   requiredPosition,
 } from '@pistachiorill/core';
 import type {
   LeadershipRecord,
   MemberRole,
   PositionSamples,
-  PrimaryRight,
+  PrimaryLeaseDecision,
   Result,
 } from '@pistachiorill/core';
-import type {Lease, LeaseRefusal, LeaseRequest} from './lease.js';
-import {leaseRefusal, refusalOf} from './lease_refusals.js';
+import type {Checkout, CheckoutRefusal, CheckoutRequest} from './lease.js';
+import {checkoutRefusal, primaryLeaseRefusal} from './lease_refusals.js';
 import type {MemberTable} from './member_table.js';
 
 /** Subtracted from the maximum age, as a statement waits before it runs. */
@@ -25,24 +25,24 @@
 const LEAVING_PRIMARY_USE_MS = 4_000;
 
 /** The member that runs a statement, without a connection to it. */
-export type Placement = Omit<Lease, 'connection'>;
+export type Placement = Omit<Checkout, 'connection'>;
 
 /** The state on which the placement of a statement depends. */
-export interface PlacementBasis {
+export interface PlacementContext {
   readonly members: MemberTable;
   /** Log positions that the primary reported, and when. */
   readonly samples: PositionSamples;
-  readonly primaryLease: PrimaryRight;
+  readonly primaryLease: PrimaryLeaseDecision;
   readonly record: LeadershipRecord | undefined;
   readonly now: number;
 }
 
-type PlacementResult = Result<Placement, LeaseRefusal>;
+type PlacementResult = Result<Placement, CheckoutRefusal>;
 
 /** Chooses the member that runs a statement, or returns why none may. */
 export function placeStatement(
-  request: LeaseRequest,
-  basis: PlacementBasis,
+  request: CheckoutRequest,
+  basis: PlacementContext,
 ): PlacementResult {
   const {requirement} = request;
   return requirement.kind === 'primary'
@@ -51,28 +51,28 @@
 }
 
 function placeAtPrimary(
-  request: LeaseRequest,
-  {members, primaryLease: lease, now}: PlacementBasis,
+  request: CheckoutRequest,
+  {members, primaryLease: lease, now}: PlacementContext,
 ): PlacementResult {
-  if (lease.kind === 'denied') return fail(refusalOf(lease.reason));
+  if (lease.kind === 'denied') return fail(primaryLeaseRefusal(lease.reason));
   const {primary: member} = lease;
   const listed = members.listed(member);
-  if (!listed || request.avoid.includes(member)) {
-    return fail(leaseRefusal('no-primary', 'the primary is not available'));
+  if (!listed || request.excluded.includes(member)) {
+    return fail(checkoutRefusal('no-primary', 'the primary is not available'));
   }
   const isLeaving = members.leavingMs(member, now) > LEAVING_PRIMARY_USE_MS;
   if (members.isOut(listed) || isLeaving) {
-    return fail(leaseRefusal('primary-changing', 'the primary leaves'));
+    return fail(checkoutRefusal('primary-changing', 'the primary leaves'));
   }
   if (!members.isInRegions(listed, request.regions)) {
     const detail = 'the primary is in another region';
-    return fail(leaseRefusal('no-member', detail));
+    return fail(checkoutRefusal('no-member', detail));
   }
-  if (members.sighting(member, now) === 'unreachable') {
-    return fail(leaseRefusal('no-primary', 'the primary does not answer'));
+  if (members.observation(member, now) === 'unreachable') {
+    return fail(checkoutRefusal('no-primary', 'the primary does not answer'));
   }
-  if (!members.admitWarmingUp(member, now)) {
-    return fail(leaseRefusal('member-warming-up', 'the primary warms up'));
+  if (!members.admitDuringWarmup(member, now)) {
+    return fail(checkoutRefusal('member-warming-up', 'the primary warms up'));
   }
   return ok({member, role: 'primary', after: undefined});
 }
@@ -82,9 +82,9 @@
  * rate is used up.
  */
 function placeRecentRead(
-  request: LeaseRequest,
-  requirement: Extract<LeaseRequest['requirement'], {kind: 'recent'}>,
-  basis: PlacementBasis,
+  request: CheckoutRequest,
+  requirement: Extract<CheckoutRequest['requirement'], {kind: 'recent'}>,
+  basis: PlacementContext,
 ): PlacementResult {
   const {members, samples, primaryLease: lease, now} = basis;
   const sample = requiredPosition(
@@ -93,17 +93,17 @@
     now,
   );
   const after = sample && laterPosition(sample, requirement.seen);
-  const loads = members.loads(request, rolesOf(basis), now);
-  const ranked = rankForRead(loads, after, now);
+  const loads = members.readCandidates(request, rolesOf(basis), now);
+  const ranked = rankMembersForRead(loads, after, now);
   const isFree = (member: string): boolean =>
     members.pool(member)?.canGrant(request, now) === true;
   const member = [...ranked.filter(isFree), ...ranked].find(item =>
-    members.admitWarmingUp(item, now),
+    members.admitDuringWarmup(item, now),
   );
   if (member === undefined) {
     return lease.kind === 'denied'
-      ? fail(refusalOf(lease.reason))
-      : fail(leaseRefusal('no-member', 'no member holds recent data'));
+      ? fail(primaryLeaseRefusal(lease.reason))
+      : fail(checkoutRefusal('no-member', 'no member holds recent data'));
   }
   const role = loads.find(load => load.member === member)?.role ?? 'replica';
   return ok({member, role, after: role === 'replica' ? after : undefined});
@@ -113,7 +113,7 @@
 function rolesOf({
   primaryLease: lease,
   record,
-}: PlacementBasis): (member: string) => MemberRole | 'unusable' {
+}: PlacementContext): (member: string) => MemberRole | 'unusable' {
   const recorded = record?.phase === 'settled' ? record.primary : record?.from;
   const asPrimary = lease.kind === 'granted' ? 'primary' : 'unusable';
   return member => (member === recorded ? asPrimary : 'replica');
--- a/packages/gateway/src/database/primary_stops.ts
+++ b/packages/gateway/src/database/primary_stops.ts
@@ -15,7 +15,7 @@
 }
 
 /** The pending requests to stop using a primary. */
-export class PrimaryStops {
+export class PendingPrimaryStops {
   private stops: PendingStop[] = [];
 
   /** The number of pending requests. */
--- a/packages/gateway/src/fleet/__tests__/fleet_task.test.ts
+++ b/packages/gateway/src/fleet/__tests__/fleet_task.test.ts
@@ -1,12 +1,12 @@
 import {afterEach, describe, expect, it} from 'vitest';
-import {Random, homeShare, homesOf} from '@pistachiorill/core';
+import {Random, rateHolderSharePpm, rateHoldersOf} from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
 import {PeerSet} from '../../peers/peer_set.js';
 import {silentLogger} from '../../testing/fake_group.js';
 import {FakeStore} from '../../testing/fake_store.js';
 import {FleetTask} from '../fleet_task.js';
 import type {RelayedRows} from '../fleet_task.js';
-import {isProven, provenShares, rightOf} from '../fleet_view.js';
+import {isProven, provenShares, primaryLeaseOf} from '../fleet_view.js';
 import type {FleetView} from '../fleet_view.js';
 
 const SETTLE_MS = 30;
@@ -14,7 +14,9 @@
 /** The share of a rate that vm-a may spend, in parts per million. */
 function spendable(view: FleetView, now: number): number {
   const table = provenShares(view, now);
-  return table ? homeShare(table, homesOf(table, 'co-op'), 'vm-a') : 0;
+  return table
+    ? rateHolderSharePpm(table, rateHoldersOf(table, 'co-op'), 'vm-a')
+    : 0;
 }
 let running: FleetTask | undefined;
 
@@ -74,7 +76,7 @@
   it('receives registrations that follow each other in batches', async () => {
     const {store, views} = start(() => undefined);
     await settle();
-    const before = store.newsAnswered;
+    const before = store.changesDelivered;
     for (let vm = 0; vm < 15; vm++) {
       store.put(`vm/vm-${vm}`, {
         peers: 'x:1',
@@ -85,7 +87,7 @@
     }
     await settle(250);
     expect(views.at(-1)?.rows.vms.size).toBe(16);
-    expect(store.newsAnswered - before).toBeLessThan(15 / 2);
+    expect(store.changesDelivered - before).toBeLessThan(15 / 2);
   });
 
   // Guards against a primary lease that outlives its proof while the store is
@@ -99,10 +101,10 @@
       const view = views.at(-1);
       if (!view) return 'no view';
       const leadership = view.rows.leadership.get('wash');
-      return rightOf(view, leadership, clock()).kind;
+      return primaryLeaseOf(view, leadership, clock()).kind;
     };
     const before = kindNow();
-    store.mood = 'down';
+    store.mode = 'down';
     await settle();
     offset.ms += 9_000;
     const late = kindNow();
@@ -133,7 +135,7 @@
   it("applies a peer's newer copy, but not an older one", async () => {
     const {task, store, views, clock} = start();
     await settle();
-    store.mood = 'down';
+    store.mode = 'down';
     const relay = (version: number, primary: string): void => {
       const now = clock();
       const relayed: RelayedRows = {
--- a/packages/gateway/src/fleet/fleet_rows.ts
+++ b/packages/gateway/src/fleet/fleet_rows.ts
@@ -1,5 +1,5 @@
 import type {
-  DutyRecord,
+  CoordinatorLease,
   LeadershipRecord,
   ShareTable,
   VersionedLeadership,
@@ -8,7 +8,7 @@
 import {z} from 'zod';
 
 /** Key of the row that holds the coordinator lease. */
-export const DUTY_KEY = 'duty';
+export const COORDINATOR_LEASE_KEY = 'duty';
 /** Key of the row that divides the rates among the VMs. */
 export const SHARES_KEY = 'shares';
 const LEADERSHIP_PREFIX = 'leadership/';
@@ -39,7 +39,7 @@
  * A VM's registration: the address where it listens for its peers, its data
  * centre, and an identifier of its current process (`incarnation`).
  */
-export type VmEntry = z.infer<typeof VM_SCHEMA>;
+export type VmRegistration = z.infer<typeof VM_SCHEMA>;
 
 const LEADERSHIP_SCHEMA = z.discriminatedUnion('phase', [
   z.object({phase: z.literal('settled'), primary: z.string()}),
@@ -73,11 +73,11 @@
 
 /** The decoded rows that all VMs share. */
 export interface FleetRows {
-  readonly vms: ReadonlyMap<string, Versioned<VmEntry>>;
+  readonly vms: ReadonlyMap<string, Versioned<VmRegistration>>;
   /** The records of the primaries, by group. */
   readonly leadership: ReadonlyMap<string, VersionedLeadership>;
   /** The coordinator lease. */
-  readonly duty: Versioned<DutyRecord> | undefined;
+  readonly duty: Versioned<CoordinatorLease> | undefined;
   /** Each VM's share of the rates. */
   readonly shares: Versioned<ShareTable> | undefined;
 }
@@ -87,9 +87,9 @@
   rows: Iterable<TableRow>,
   onUnreadable: (key: string) => void,
 ): FleetRows {
-  const vms = new Map<string, Versioned<VmEntry>>();
+  const vms = new Map<string, Versioned<VmRegistration>>();
   const leadership = new Map<string, VersionedLeadership>();
-  let duty: Versioned<DutyRecord> | undefined;
+  let duty: Versioned<CoordinatorLease> | undefined;
   let shares: Versioned<ShareTable> | undefined;
   for (const {key, value, version} of rows) {
     if (key.startsWith(VM_PREFIX)) {
@@ -104,7 +104,7 @@
       const group = key.slice(LEADERSHIP_PREFIX.length);
       if (record) leadership.set(group, {record, version});
       else onUnreadable(key);
-    } else if (key === DUTY_KEY) {
+    } else if (key === COORDINATOR_LEASE_KEY) {
       const record = read(DUTY_SCHEMA, value);
       if (record) duty = {value: record, version};
       else onUnreadable(key);
--- a/packages/gateway/src/fleet/fleet_task.ts
+++ b/packages/gateway/src/fleet/fleet_task.ts
@@ -1,7 +1,7 @@
 import {
   UNKNOWN_STORE_CLOCK,
-  afterClockSkip,
-  afterStoreAnswer,
+  widenStoreClock,
+  narrowStoreClock,
   earliestStoreTime,
   isRevoked,
   latestStoreTime,
@@ -11,9 +11,9 @@
   RowTransaction,
   StoreTiming,
   StoreWriteError,
-  TableAnswer,
+  TableReadResult,
   TableRow,
-  TransactionAnswer,
+  TransactionResult,
   TransactionalStore,
 } from '@pistachiorill/store';
 import type {Result} from '@pistachiorill/core';
@@ -22,7 +22,7 @@
 import type {Logger} from '@pistachiorill/telemetry';
 import type {PeerSet} from '../peers/peer_set.js';
 import {SHARES_KEY, decodeRows, isVmRow, vmKey} from './fleet_rows.js';
-import type {FleetRows, VmEntry} from './fleet_rows.js';
+import type {FleetRows, VmRegistration} from './fleet_rows.js';
 import type {FleetView} from './fleet_view.js';
 
 /**
@@ -56,17 +56,17 @@
 export type FleetMessage =
   | {readonly kind: 'start'}
   /** The store answered a read or a request for changes. */
-  | {readonly kind: 'watched'; readonly answer: TableAnswer}
+  | {readonly kind: 'watched'; readonly answer: TableReadResult}
   | {
       readonly kind: 'transact';
       readonly transaction: RowTransaction;
-      readonly reply: Reply<Result<TransactionAnswer, StoreWriteError>>;
+      readonly reply: Reply<Result<TransactionResult, StoreWriteError>>;
     }
   /** The store accepted a transaction of this VM. */
   | {
       readonly kind: 'written';
       readonly transaction: RowTransaction;
-      readonly answer: TransactionAnswer;
+      readonly answer: TransactionResult;
     }
   | {
       readonly kind: 'relayed';
@@ -83,10 +83,10 @@
   | {readonly kind: 'leave'; readonly reply: Reply<void>};
 
 /** Collaborators of the fleet task. */
-export interface FleetTools {
+export interface FleetDependencies {
   readonly vm: string;
   /** Registers this process. */
-  readonly entry: VmEntry;
+  readonly entry: VmRegistration;
   readonly store: TransactionalStore;
   readonly peers: PeerSet;
   readonly clock: Clock;
@@ -108,7 +108,7 @@
   private storeState: 'answering' | 'failing' = 'answering';
   private view: FleetView;
 
-  constructor(private readonly deps: FleetTools) {
+  constructor(private readonly deps: FleetDependencies) {
     super();
     this.view = this.currentView();
   }
@@ -134,7 +134,7 @@
         message.reply.answer(this.relay());
         return;
       case 'clock-skipped':
-        this.storeClock = afterClockSkip(this.storeClock, message.skippedMs);
+        this.storeClock = widenStoreClock(this.storeClock, message.skippedMs);
         this.publish();
         return;
       case 'leave':
@@ -183,7 +183,7 @@
   }
 
   /** A VM that has not joined does not pause: it waits for its own row. */
-  private mayPause({rows, removed}: TableAnswer): boolean {
+  private mayPause({rows, removed}: TableReadResult): boolean {
     const hasOnlyPuts = rows.length > 0 && removed.length === 0;
     return this.view.joined === 'joined' && hasOnlyPuts && rows.every(isVmRow);
   }
@@ -209,7 +209,7 @@
     this.deps.log.warn({event: 'store.fails', detail}, 'store does not answer');
   }
 
-  private applyWatchedRows(answer: TableAnswer): void {
+  private applyWatchedRows(answer: TableReadResult): void {
     this.updateStoreClock(answer);
     const hasChanges = answer.rows.length > 0 || answer.removed.length > 0;
     for (const row of answer.rows) this.rows.set(row.key, row);
@@ -222,7 +222,7 @@
   }
 
   private updateStoreClock({storeMs, sentAt, receivedAt}: StoreTiming): void {
-    this.storeClock = afterStoreAnswer(
+    this.storeClock = narrowStoreClock(
       this.storeClock,
       storeMs,
       sentAt,
@@ -316,7 +316,7 @@
 
   private async transact(
     transaction: RowTransaction,
-  ): Promise<Result<TransactionAnswer, StoreWriteError>> {
+  ): Promise<Result<TransactionResult, StoreWriteError>> {
     const result = await this.deps.store.transact(transaction);
     if (result.ok) {
       this.tell({kind: 'written', transaction, answer: result.value});
@@ -332,7 +332,7 @@
    */
   private written(
     {puts, removals = []}: RowTransaction,
-    answer: TransactionAnswer,
+    answer: TransactionResult,
   ): void {
     this.updateStoreClock(answer);
     for (const [key, value] of puts) {
--- a/packages/gateway/src/fleet/fleet_view.ts
+++ b/packages/gateway/src/fleet/fleet_view.ts
@@ -1,11 +1,11 @@
 import {
-  PRIMARY_RIGHT_MS,
+  PRIMARY_LEASE_MS,
   UNKNOWN_STORE_CLOCK,
   latestStoreTime,
-  primaryRight,
+  decidePrimaryLease,
 } from '@pistachiorill/core';
 import type {
-  PrimaryRight,
+  PrimaryLeaseDecision,
   ShareTable,
   StoreClock,
   StoreProof,
@@ -49,7 +49,7 @@
     view.joined === 'joined' &&
     view.proof !== undefined &&
     latestStoreTime(view.storeClock, now) <
-      view.proof.asOfStoreMs + PRIMARY_RIGHT_MS
+      view.proof.asOfStoreMs + PRIMARY_LEASE_MS
   );
 }
 
@@ -57,7 +57,7 @@
 const STORE_UNRESPONSIVE_AFTER_MS = 4_300;
 
 /** Whether the store answered recently, so that it can be written to. */
-export function hearsStore(view: FleetView, now: number): boolean {
+export function isStoreResponsive(view: FleetView, now: number): boolean {
   return (
     view.proof !== undefined &&
     latestStoreTime(view.storeClock, now) - view.proof.asOfStoreMs <
@@ -66,12 +66,12 @@
 }
 
 /** Returns this VM's primary lease for a group at the given time. */
-export function rightOf(
+export function primaryLeaseOf(
   view: FleetView,
   leadership: VersionedLeadership | undefined,
   now: number,
-): PrimaryRight {
-  return primaryRight(
+): PrimaryLeaseDecision {
+  return decidePrimaryLease(
     {
       record: leadership?.record,
       proof: view.proof,
--- a/packages/gateway/src/fleet/share_keeper.ts
+++ b/packages/gateway/src/fleet/share_keeper.ts
@@ -1,16 +1,16 @@
 import {
-  hasUnsureRevocation,
+  hasUnconfirmedRevocation,
   initialShares,
   latestStoreTime,
   earliestStoreTime,
-  mayStillHoldRight,
+  mayHoldPrimaryLease,
   nextShares,
 } from '@pistachiorill/core';
 import type {Result} from '@pistachiorill/core';
 import type {
   RowTransaction,
   StoreWriteError,
-  TransactionAnswer,
+  TransactionResult,
 } from '@pistachiorill/store';
 import {Task} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
@@ -37,12 +37,12 @@
 const FIRST_TABLE_DELAY_MS = 1_500;
 
 /** Collaborators of the task that divides the rates. */
-export interface ShareKeeperTools {
+export interface ShareAllocatorDependencies {
   readonly vm: string;
   readonly view: () => FleetView;
   readonly transact: (
     transaction: RowTransaction,
-  ) => Promise<Result<TransactionAnswer, StoreWriteError>>;
+  ) => Promise<Result<TransactionResult, StoreWriteError>>;
   readonly peers: PeerSet;
   readonly clock: Clock;
   readonly log: Logger;
@@ -50,7 +50,7 @@
 }
 
 /** `keep` divides the rates now and schedules the next run. */
-export type ShareKeeperMessage =
+export type ShareAllocatorMessage =
   {readonly kind: 'keep'} | {readonly kind: 'stop'};
 
 /**
@@ -58,17 +58,19 @@
  * those that answer does so. A second VM that does the same at the same time is
  * harmless, because each write depends on the version of the row.
  */
-export class ShareKeeper extends Task<ShareKeeperMessage> {
+export class ShareAllocator extends Task<ShareAllocatorMessage> {
   private timer: NodeJS.Timeout | undefined;
   private readonly answeredAt = new Map<string, number>();
   private joinedSince: number | undefined;
   private phase: 'running' | 'stopped' = 'running';
 
-  constructor(private readonly deps: ShareKeeperTools) {
+  constructor(private readonly deps: ShareAllocatorDependencies) {
     super();
   }
 
-  protected override async handle(message: ShareKeeperMessage): Promise<void> {
+  protected override async handle(
+    message: ShareAllocatorMessage,
+  ): Promise<void> {
     if (message.kind === 'stop') {
       this.phase = 'stopped';
       clearTimeout(this.timer);
@@ -77,7 +79,7 @@
     if (this.phase === 'stopped') return;
     await this.keep();
     const shares = this.deps.view().rows.shares?.value;
-    const isSettled = shares && !hasUnsureRevocation(shares);
+    const isSettled = shares && !hasUnconfirmedRevocation(shares);
     const wait = isSettled
       ? ALLOCATION_INTERVAL_MS
       : UNSETTLED_ALLOCATION_INTERVAL_MS;
@@ -118,7 +120,7 @@
       present: names.filter(name => !lost.includes(name)),
       lost,
       at: latest,
-      isExpired: lostBy => !mayStillHoldRight(lostBy, earliest),
+      isExpired: lostBy => !mayHoldPrimaryLease(lostBy, earliest),
     });
     if (!next) return;
     const expired = sharingVms.filter(name => !next[name]);
--- a/packages/gateway/src/leadership/__tests__/leadership_task.test.ts
+++ b/packages/gateway/src/leadership/__tests__/leadership_task.test.ts
@@ -85,7 +85,7 @@
     },
     clock,
     log: silentLogger(),
-    onMoved: () => undefined,
+    onChangeEnded: () => undefined,
     onFailed: err => {
       throw err;
     },
--- a/packages/gateway/src/leadership/__tests__/move.test.ts
+++ b/packages/gateway/src/leadership/__tests__/move.test.ts
@@ -1,9 +1,16 @@
 import {afterEach, describe, expect, it} from 'vitest';
 import {UNKNOWN_STORE_CLOCK, fail, ok} from '@pistachiorill/core';
-import type {MoveReason, Random, SuspicionVerdict} from '@pistachiorill/core';
+import type {
+  PrimaryChangeReason,
+  Random,
+  SuspicionOutcome,
+} from '@pistachiorill/core';
 import {PeerSet} from '../../peers/peer_set.js';
-import {PrimaryOrders} from '../../ports/primary_orders.js';
-import type {OrderError, PromotionOrder} from '../../ports/primary_orders.js';
+import {PrimaryPromoter} from '../../ports/primary_orders.js';
+import type {
+  PromotionError,
+  PromotionRequest,
+} from '../../ports/primary_orders.js';
 import {decodeRows} from '../../fleet/fleet_rows.js';
 import type {FleetView} from '../../fleet/fleet_view.js';
 import {
@@ -12,7 +19,7 @@
   silentLogger,
 } from '../../testing/fake_group.js';
 import {FakeStore} from '../../testing/fake_store.js';
-import {Move} from '../move.js';
+import {PrimaryChange} from '../move.js';
 
 type OrderFaultMode = 'done' | 'rejected-once' | 'answer-lost-once';
 
@@ -20,7 +27,7 @@
  * Promotes fake members. The fault mode applies to the next order only, which
  * is rejected or loses its answer.
  */
-class FakeOrders extends PrimaryOrders {
+class FakeOrders extends PrimaryPromoter {
   readonly received: string[] = [];
   faultMode: OrderFaultMode = 'done';
 
@@ -28,11 +35,11 @@
     super();
   }
 
-  override async promote({member, holder, fence}: PromotionOrder) {
+  override async promote({member, holder, fence}: PromotionRequest) {
     this.received.push(`${member} by ${holder}, ${fence}`);
     const {faultMode} = this;
     this.faultMode = 'done';
-    const err: OrderError = {kind: 'rejected', detail: 'not running'};
+    const err: PromotionError = {kind: 'rejected', detail: 'not running'};
     if (faultMode === 'rejected-once') return fail(err);
     const promoted = this.group.member(member);
     if (promoted.role !== 'primary') {
@@ -40,7 +47,7 @@
       promoted.term++;
     }
     if (faultMode === 'answer-lost-once') {
-      const lost: OrderError = {kind: 'unknown-outcome', detail: 'lost'};
+      const lost: PromotionError = {kind: 'unknown-outcome', detail: 'lost'};
       return fail(lost);
     }
     return ok(undefined);
@@ -65,11 +72,14 @@
 
 afterEach(() => group?.close());
 
-function start(reason: MoveReason, peersOfFleet: readonly string[] = []) {
+function start(
+  reason: PrimaryChangeReason,
+  peersOfFleet: readonly string[] = [],
+) {
   const fake = new FakeGroup();
   group = fake;
   const offset = {ms: 0};
-  const verdicts: SuspicionVerdict[] = [];
+  const verdicts: SuspicionOutcome[] = [];
   const clock = (): number => performance.now() + offset.ms;
   const store = new FakeStore(clock);
   for (const vm of ['vm-a', ...peersOfFleet]) {
@@ -92,7 +102,7 @@
     },
     joined: 'joined',
   });
-  const change = new Move(
+  const change = new PrimaryChange(
     {group: 'wash', from: 'a', reason},
     {
       vm: 'vm-a',
@@ -121,18 +131,18 @@
 type Started = ReturnType<typeof start>;
 
 const CASES: ReadonlyArray<
-  readonly [string, MoveReason, (started: Started) => void]
+  readonly [string, PrimaryChangeReason, (started: Started) => void]
 > = [
   [
     'replaces a primary that does not answer',
     'unreachable',
-    ({fake}) => (fake.member('a').mood = 'silent'),
+    ({fake}) => (fake.member('a').mode = 'silent'),
   ],
   [
     'promotes the member with the longer log',
     'unreachable',
     ({fake}) => {
-      fake.member('a').mood = 'silent';
+      fake.member('a').mode = 'silent';
       fake.member('b').received = {term: 1, position: 12};
     },
   ],
@@ -141,7 +151,7 @@
     'orders a promotion once if only the answer is lost',
     'unreachable',
     ({fake, orders}) => {
-      fake.member('a').mood = 'silent';
+      fake.member('a').mode = 'silent';
       orders.faultMode = 'answer-lost-once';
     },
   ],
@@ -149,7 +159,7 @@
     'orders a promotion again after it was rejected',
     'unreachable',
     ({fake, orders}) => {
-      fake.member('a').mood = 'silent';
+      fake.member('a').mode = 'silent';
       orders.faultMode = 'rejected-once';
     },
   ],
@@ -198,7 +208,7 @@
     async leaseState => {
       const started = start('unreachable');
       const {fake, store} = started;
-      for (const name of ['b', 'c']) fake.member(name).mood = 'silent';
+      for (const name of ['b', 'c']) fake.member(name).mode = 'silent';
       const running = started.result();
       await new Promise(resolve => setTimeout(resolve, 1_500));
       if (leaseState === 'taken') {
@@ -212,7 +222,7 @@
   // Guards against a promotion while a VM may still use the former primary.
   it('waits for the primary lease of an unresponsive VM to end', async () => {
     const started = start('unreachable', ['vm-b', 'vm-c']);
-    started.fake.member('a').mood = 'silent';
+    started.fake.member('a').mode = 'silent';
     started.peers.silent.add('vm-c');
     const running = started.result();
     await new Promise(resolve => setTimeout(resolve, 400));
@@ -295,7 +305,7 @@
     async (unusedName, {lostByMsAgo}) => {
       const started = start('unreachable', ['vm-b']);
       const {fake, peers, store, offset, clock, orders} = started;
-      fake.member('a').mood = 'silent';
+      fake.member('a').mode = 'silent';
       peers.silent.add('vm-b');
       const storeMs = clock() + 1_000_000;
       const lostBy =
--- a/packages/gateway/src/leadership/leadership_task.ts
+++ b/packages/gateway/src/leadership/leadership_task.ts
@@ -1,25 +1,28 @@
 import {
   SUSPECT_AFTER_MS,
-  decideDuty,
+  decideCoordinatorLease,
   earliestStoreTime,
-  judgeSuspicion,
+  evaluateSuspicion,
   latestStoreTime,
-  mayStillHoldRight,
+  mayHoldPrimaryLease,
   rendezvousOrder,
 } from '@pistachiorill/core';
 import type {
-  DutyRecord,
-  MoveReason,
-  PrimarySighting,
-  SuspicionVerdict,
+  CoordinatorLease,
+  PrimaryChangeReason,
+  PrimaryObservation,
+  SuspicionOutcome,
 } from '@pistachiorill/core';
 import {Task, ask} from '@pistachiorill/tasks';
 import type {DatabaseTask} from '../database/database_task.js';
-import {DUTY_KEY, leadershipKey} from '../fleet/fleet_rows.js';
-import {hearsStore, isProven} from '../fleet/fleet_view.js';
+import {COORDINATOR_LEASE_KEY, leadershipKey} from '../fleet/fleet_rows.js';
+import {isStoreResponsive, isProven} from '../fleet/fleet_view.js';
 import type {ListedMember} from '../ports/member_directory.js';
-import {Move} from './move.js';
-import type {MoveOutcome, MoveTools} from './move_tools.js';
+import {PrimaryChange} from './move.js';
+import type {
+  PrimaryChangeOutcome,
+  PrimaryChangeDependencies,
+} from './move_tools.js';
 
 /** How often all groups are checked for a needed primary change. */
 const REVIEW_INTERVAL_MS = 250;
@@ -56,13 +59,13 @@
   | {
       readonly kind: 'change-ended';
       readonly group: string;
-      readonly outcome: MoveOutcome;
+      readonly outcome: PrimaryChangeOutcome;
     }
   | {readonly kind: 'stop'};
 
 /** Collaborators of the task, with lookups by group. */
-export interface LeadershipTools extends Omit<
-  MoveTools,
+export interface LeadershipDependencies extends Omit<
+  PrimaryChangeDependencies,
   'database' | 'members' | 'synchronousReplicas' | 'reevaluate'
 > {
   readonly groups: () => readonly string[];
@@ -73,13 +76,13 @@
   readonly isOutOfService: (member: ListedMember) => boolean;
   /** Whether a list of members has been received since the start. */
   readonly directory: () => 'known' | 'unknown';
-  readonly onMoved: (outcome: MoveOutcome) => void;
+  readonly onChangeEnded: (outcome: PrimaryChangeOutcome) => void;
   readonly onFailed: (err: unknown) => void;
 }
 
 /** A needed primary change and since when it has been needed. */
 interface PendingChange {
-  readonly reason: MoveReason;
+  readonly reason: PrimaryChangeReason;
   readonly from: string;
   readonly since: number;
 }
@@ -99,7 +102,7 @@
   private readonly pingingGroups = new Set<string>();
   private leaseAcquisition: 'idle' | 'under-way' = 'idle';
 
-  constructor(private readonly deps: LeadershipTools) {
+  constructor(private readonly deps: LeadershipDependencies) {
     super();
   }
 
@@ -121,7 +124,7 @@
       case 'change-ended':
         this.runningChanges.delete(message.group);
         this.pendingChanges.delete(message.group);
-        this.deps.onMoved(message.outcome);
+        this.deps.onChangeEnded(message.outcome);
         return;
       case 'stop':
         clearTimeout(this.timer);
@@ -165,7 +168,7 @@
   /** Starts a primary change once its cause has lasted, delayed by rank. */
   private considerChange(
     group: string,
-    reason: MoveReason,
+    reason: PrimaryChangeReason,
     from: string,
     now: number,
   ): void {
@@ -214,7 +217,7 @@
   private rankDelay(group: string): number {
     const {vm, view, peers} = this.deps;
     const names = [...view().rows.vms.keys()].filter(
-      name => name === vm || !peers.isSilent(name),
+      name => name === vm || !peers.isUnresponsive(name),
     );
     const rank = rendezvousOrder(group, names).indexOf(vm);
     return Math.max(0, rank) * RANK_DELAY_MS;
@@ -259,12 +262,12 @@
   private async collectVerdict(
     group: string,
     primary: string,
-  ): Promise<SuspicionVerdict> {
+  ): Promise<SuspicionOutcome> {
     const {peers, log} = this.deps;
     const database = this.deps.database(group);
     if (!database) return 'keep';
-    const views: Array<PrimarySighting | 'vm-down'> = await Promise.all([
-      ask<PrimarySighting>(reply => database.tell({kind: 'sight', reply})),
+    const views: Array<PrimaryObservation | 'vm-down'> = await Promise.all([
+      ask<PrimaryObservation>(reply => database.tell({kind: 'sight', reply})),
       ...peers.names.map(async name => {
         const answer = await peers.sight(name, group, OBSERVATION_TIMEOUT_MS);
         if (answer.ok) return answer.value;
@@ -272,7 +275,7 @@
         return isDown ? 'vm-down' : 'unknown';
       }),
     ]);
-    const verdict = judgeSuspicion(views);
+    const verdict = evaluateSuspicion(views);
     log.info(
       {event: 'primary.judged', group, primary, views, verdict},
       'evaluated the observations of a suspected primary',
@@ -288,11 +291,11 @@
     if (this.runningChanges.has(group) || !database) return;
     if (reason === 'leaving' && !(await this.mayAnnounce(group, since))) return;
     // A change started without the store may be out of date when it returns.
-    if (!hearsStore(this.deps.view(), this.deps.clock())) return;
+    if (!isStoreResponsive(this.deps.view(), this.deps.clock())) return;
     const fence = await this.acquireLease(group);
     if (fence === undefined || this.runningChanges.has(group)) return;
     this.runningChanges.add(group);
-    const change = new Move(
+    const change = new PrimaryChange(
       {group, from, reason},
       {
         ...this.deps,
@@ -302,7 +305,7 @@
         reevaluate: () => this.collectVerdict(group, from),
       },
     );
-    let outcome: MoveOutcome = 'given-up';
+    let outcome: PrimaryChangeOutcome = 'given-up';
     try {
       outcome = await change.run(fence);
     } catch (err) {
@@ -352,7 +355,7 @@
     const {rows, storeClock} = this.deps.view();
     const lostBy = rows.shares?.value[vm]?.lostBy;
     const earliest = earliestStoreTime(storeClock, this.deps.clock());
-    return lostBy === undefined || mayStillHoldRight(lostBy, earliest);
+    return lostBy === undefined || mayHoldPrimaryLease(lostBy, earliest);
   }
 
   /**
@@ -364,7 +367,7 @@
     const {vm, view, clock, peers, log} = this.deps;
     const {rows, storeClock} = view();
     const now = clock();
-    const decision = decideDuty(
+    const decision = decideCoordinatorLease(
       vm,
       rows.duty?.value,
       earliestStoreTime(storeClock, now),
@@ -374,11 +377,15 @@
       return undefined;
     }
     const takenAt = latestStoreTime(storeClock, now);
-    const record: DutyRecord = {holder: vm, fence: decision.fence, takenAt};
+    const record: CoordinatorLease = {
+      holder: vm,
+      fence: decision.fence,
+      takenAt,
+    };
     this.leaseAcquisition = 'under-way';
     const result = await this.deps.transact({
-      expected: new Map([[DUTY_KEY, rows.duty?.version ?? 0]]),
-      puts: new Map([[DUTY_KEY, JSON.stringify(record)]]),
+      expected: new Map([[COORDINATOR_LEASE_KEY, rows.duty?.version ?? 0]]),
+      puts: new Map([[COORDINATOR_LEASE_KEY, JSON.stringify(record)]]),
     });
     this.leaseAcquisition = 'idle';
     log.info(
--- a/packages/gateway/src/leadership/move.ts
+++ b/packages/gateway/src/leadership/move.ts
@@ -1,21 +1,25 @@
 import {
   chooseSuccessor,
-  holdsDuty,
+  holdsCoordinatorLease,
   laterPosition,
   latestStoreTime,
 } from '@pistachiorill/core';
 import type {
-  DutyRecord,
+  CoordinatorLease,
   LogPosition,
   SuccessorReport,
 } from '@pistachiorill/core';
 import {ask, sleep} from '@pistachiorill/tasks';
 import type {StatusResult} from '../database/database_message.js';
-import {DUTY_KEY, leadershipKey} from '../fleet/fleet_rows.js';
+import {COORDINATOR_LEASE_KEY, leadershipKey} from '../fleet/fleet_rows.js';
 import type {ListedMember} from '../ports/member_directory.js';
-import type {MoveOutcome, MoveRequest, MoveTools} from './move_tools.js';
-import {VmStops} from './vm_stops.js';
-import type {Announced} from './vm_stops.js';
+import type {
+  PrimaryChangeOutcome,
+  PrimaryChangeRequest,
+  PrimaryChangeDependencies,
+} from './move_tools.js';
+import {PrimaryStopper} from './vm_stops.js';
+import type {ChangeAnnouncement} from './vm_stops.js';
 
 const STATUS_INTERVAL_MS = 60;
 const ORDER_TIMEOUT_MS = 1_000;
@@ -37,18 +41,18 @@
  * change; every VM stops using the former primary or its primary lease expires;
  * only then a successor is promoted and recorded.
  */
-export class Move {
+export class PrimaryChange {
   /** Fencing number of the coordinator lease under which this change runs. */
   private fence = 0;
   private readonly startedAt: number;
-  private readonly primaryStopper: VmStops;
+  private readonly primaryStopper: PrimaryStopper;
 
   constructor(
-    private readonly request: MoveRequest,
-    private readonly deps: MoveTools,
+    private readonly request: PrimaryChangeRequest,
+    private readonly deps: PrimaryChangeDependencies,
   ) {
     this.startedAt = deps.clock();
-    this.primaryStopper = new VmStops(request, {
+    this.primaryStopper = new PrimaryStopper(request, {
       ...deps,
       renewLeaseIfNeeded: () => this.renewLeaseIfNeeded(),
       onStep: (step, details) => this.log(step, details),
@@ -56,7 +60,7 @@
   }
 
   /** Runs the change under the coordinator lease with the given number. */
-  async run(fence: number): Promise<MoveOutcome> {
+  async run(fence: number): Promise<PrimaryChangeOutcome> {
     this.fence = fence;
     const announced = await this.announce();
     if (!announced) return 'lost';
@@ -71,8 +75,8 @@
    * would drop the commits that it made meanwhile.
    */
   private async revertIfReachable(
-    announced: Announced,
-  ): Promise<MoveOutcome | undefined> {
+    announced: ChangeAnnouncement,
+  ): Promise<PrimaryChangeOutcome | undefined> {
     const {from, reason} = this.request;
     const waitedMs = this.deps.clock() - this.startedAt;
     if (reason !== 'unreachable' || waitedMs < REEVALUATE_AFTER_MS) {
@@ -88,7 +92,7 @@
    * Writes the record that announces the change, or takes over the one that an
    * earlier coordinator wrote.
    */
-  private async announce(): Promise<Announced | undefined> {
+  private async announce(): Promise<ChangeAnnouncement | undefined> {
     const {group, from, reason} = this.request;
     while (this.isWithinTimeLimit()) {
       const view = this.deps.view();
@@ -103,7 +107,7 @@
       const result = await this.deps.transact({
         expected: new Map([
           [leadershipKey(group), current.version],
-          [DUTY_KEY, lease.version],
+          [COORDINATOR_LEASE_KEY, lease.version],
         ]),
         puts: new Map([[leadershipKey(group), JSON.stringify(moving)]]),
       });
@@ -123,7 +127,9 @@
    * coordinator may have ordered a promotion that takes effect later, so the
    * coordinator lease must not have changed hands since the announcement.
    */
-  private async revert(announced: Announced): Promise<MoveOutcome | undefined> {
+  private async revert(
+    announced: ChangeAnnouncement,
+  ): Promise<PrimaryChangeOutcome | undefined> {
     const {group, from} = this.request;
     const {duty: lease, leadership} = this.deps.view().rows;
     const current = leadership.get(group);
@@ -136,7 +142,7 @@
     const result = await this.deps.transact({
       expected: new Map([
         [leadershipKey(group), current.version],
-        [DUTY_KEY, lease.version],
+        [COORDINATOR_LEASE_KEY, lease.version],
       ]),
       puts: new Map([[leadershipKey(group), JSON.stringify(record)]]),
     });
@@ -149,9 +155,9 @@
    * Records the former primary again if no other member answers.
    */
   private async promoteSuccessor(
-    announced: Announced,
+    announced: ChangeAnnouncement,
     lastPosition: LogPosition | undefined,
-  ): Promise<MoveOutcome> {
+  ): Promise<PrimaryChangeOutcome> {
     const {from, reason} = this.request;
     const choosingSince = this.deps.clock();
     while (this.isWithinTimeLimit()) {
@@ -176,7 +182,7 @@
       const choice = chooseSuccessor({
         reports,
         former: former.ok ? former.value : undefined,
-        listed: others.length,
+        listedCount: others.length,
         required,
         synchronousReplicas: this.deps.synchronousReplicas(),
         waitedMs: now - choosingSince,
@@ -290,20 +296,20 @@
     const lease = view.rows.duty;
     if (!lease || lease.value.holder !== this.deps.vm) return false;
     const takenAt = latestStoreTime(view.storeClock, this.deps.clock());
-    const record: DutyRecord = {...lease.value, takenAt};
+    const record: CoordinatorLease = {...lease.value, takenAt};
     const result = await this.deps.transact({
-      expected: new Map([[DUTY_KEY, lease.version]]),
-      puts: new Map([[DUTY_KEY, JSON.stringify(record)]]),
+      expected: new Map([[COORDINATOR_LEASE_KEY, lease.version]]),
+      puts: new Map([[COORDINATOR_LEASE_KEY, JSON.stringify(record)]]),
     });
     if (!result.ok) await sleep(STORE_RETRY_MS);
     return result.ok || result.err.kind !== 'conflict';
   }
 
   /** Whether the lease lasts long enough for one more order. */
-  private holdsLease(lease: DutyRecord): boolean {
+  private holdsLease(lease: CoordinatorLease): boolean {
     return (
       lease.fence === this.fence &&
-      holdsDuty(
+      holdsCoordinatorLease(
         this.deps.vm,
         lease,
         latestStoreTime(this.deps.view().storeClock, this.deps.clock()),
@@ -313,7 +319,10 @@
   }
 
   /** Records the new primary and, given its term, demotes the former one. */
-  private async settle(primary: string, term?: number): Promise<MoveOutcome> {
+  private async settle(
+    primary: string,
+    term?: number,
+  ): Promise<PrimaryChangeOutcome> {
     const {group, from} = this.request;
     while (this.isWithinTimeLimit()) {
       const current = this.deps.view().rows.leadership.get(group);
--- a/packages/gateway/src/leadership/move_tools.ts
+++ b/packages/gateway/src/leadership/move_tools.ts
@@ -1,8 +1,12 @@
-import type {MoveReason, Result, SuspicionVerdict} from '@pistachiorill/core';
+import type {
+  PrimaryChangeReason,
+  Result,
+  SuspicionOutcome,
+} from '@pistachiorill/core';
 import type {
   RowTransaction,
   StoreWriteError,
-  TransactionAnswer,
+  TransactionResult,
 } from '@pistachiorill/store';
 import type {Clock} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
@@ -10,17 +14,17 @@
 import type {FleetView} from '../fleet/fleet_view.js';
 import type {PeerSet} from '../peers/peer_set.js';
 import type {ListedMember} from '../ports/member_directory.js';
-import type {PrimaryOrders} from '../ports/primary_orders.js';
+import type {PrimaryPromoter} from '../ports/primary_orders.js';
 
 /** A primary change to carry out: the group, its former primary and why. */
-export interface MoveRequest {
+export interface PrimaryChangeRequest {
   readonly group: string;
   readonly from: string;
-  readonly reason: MoveReason;
+  readonly reason: PrimaryChangeReason;
 }
 
 /** Collaborators that a primary change uses on this VM. */
-export interface MoveTools {
+export interface PrimaryChangeDependencies {
   readonly vm: string;
   readonly database: DatabaseTask;
   readonly view: () => FleetView;
@@ -36,12 +40,12 @@
   /** Replicas of the group that hold a commit before it is acknowledged. */
   readonly synchronousReplicas: () => number;
   /** Collects fresh observations of the former primary from all VMs. */
-  readonly reevaluate: () => Promise<SuspicionVerdict>;
+  readonly reevaluate: () => Promise<SuspicionOutcome>;
   readonly transact: (
     transaction: RowTransaction,
-  ) => Promise<Result<TransactionAnswer, StoreWriteError>>;
+  ) => Promise<Result<TransactionResult, StoreWriteError>>;
   readonly peers: PeerSet;
-  readonly orders: PrimaryOrders;
+  readonly orders: PrimaryPromoter;
   readonly clock: Clock;
   readonly log: Logger;
 }
@@ -51,4 +55,4 @@
  * is kept (`reverted`), another VM carries on or the change is no longer needed
  * (`lost`), or the time limit passed (`given-up`).
  */
-export type MoveOutcome = 'settled' | 'reverted' | 'lost' | 'given-up';
+export type PrimaryChangeOutcome = 'settled' | 'reverted' | 'lost' | 'given-up';
--- a/packages/gateway/src/leadership/vm_stops.ts
+++ b/packages/gateway/src/leadership/vm_stops.ts
@@ -1,12 +1,15 @@
 import {
   earliestStoreTime,
   laterPosition,
-  mayStillHoldRight,
+  mayHoldPrimaryLease,
 } from '@pistachiorill/core';
 import type {LogPosition} from '@pistachiorill/core';
 import {ask, sleep} from '@pistachiorill/tasks';
 import {vmKey} from '../fleet/fleet_rows.js';
-import type {MoveRequest, MoveTools} from './move_tools.js';
+import type {
+  PrimaryChangeRequest,
+  PrimaryChangeDependencies,
+} from './move_tools.js';
 
 /** How often VMs that have not answered are asked again to stop. */
 const STOP_RETRY_MS = 150;
@@ -15,7 +18,7 @@
 const VIEW_INTERVAL_MS = 10;
 
 /** The store's answer to the write that announces a primary change. */
-export interface Announced {
+export interface ChangeAnnouncement {
   readonly version: number;
   readonly storeMs: number;
   /** Whether an earlier coordinator may already have ordered a promotion. */
@@ -23,8 +26,8 @@
 }
 
 /** Collaborators for stopping the use of a primary. */
-export interface VmStopsTools extends Pick<
-  MoveTools,
+export interface PrimaryStopperDependencies extends Pick<
+  PrimaryChangeDependencies,
   'vm' | 'database' | 'view' | 'peers' | 'transact' | 'clock'
 > {
   /** Extends the coordinator lease if it would end during the wait. */
@@ -33,17 +36,19 @@
 }
 
 /** Makes every VM stop using a primary that is being replaced. */
-export class VmStops {
+export class PrimaryStopper {
   constructor(
-    private readonly request: MoveRequest,
-    private readonly deps: VmStopsTools,
+    private readonly request: PrimaryChangeRequest,
+    private readonly deps: PrimaryStopperDependencies,
   ) {}
 
   /**
    * Waits until no VM uses the former primary; returns the last log position
    * that any VM saw there.
    */
-  async stopAll(announced: Announced): Promise<LogPosition | undefined> {
+  async stopAll(
+    announced: ChangeAnnouncement,
+  ): Promise<LogPosition | undefined> {
     const {group, from, reason} = this.request;
     const req = {group, version: announced.version, from, reason};
     let lastPosition = await this.stopLocally(announced.version);
@@ -83,7 +88,7 @@
   }
 
   /** Waits for the rows of all VMs that registered before the announcement. */
-  private async waitForVmRows(announced: Announced): Promise<void> {
+  private async waitForVmRows(announced: ChangeAnnouncement): Promise<void> {
     while (
       this.deps.view().version < announced.version &&
       this.mayAnyVmUsePrimary(announced)
@@ -127,18 +132,18 @@
   }
 
   /** Whether any VM may still hold a primary lease as of the announcement. */
-  private mayAnyVmUsePrimary(announced: Announced): boolean {
-    return mayStillHoldRight(announced.storeMs, this.earliestStoreMs());
+  private mayAnyVmUsePrimary(announced: ChangeAnnouncement): boolean {
+    return mayHoldPrimaryLease(announced.storeMs, this.earliestStoreMs());
   }
 
   /**
    * Whether an unresponsive VM may still use the former primary. Its primary
    * lease ended earlier if it was declared lost before the announcement.
    */
-  private mayUsePrimary(vm: string, announced: Announced): boolean {
+  private mayUsePrimary(vm: string, announced: ChangeAnnouncement): boolean {
     const entry = this.deps.view().rows.shares?.value[vm];
     const endedAt = Math.min(entry?.lostBy ?? Infinity, announced.storeMs);
-    return mayStillHoldRight(endedAt, this.earliestStoreMs());
+    return mayHoldPrimaryLease(endedAt, this.earliestStoreMs());
   }
 
   private earliestStoreMs(): number {
--- a/packages/gateway/src/operators/__tests__/directory_task.test.ts
+++ b/packages/gateway/src/operators/__tests__/directory_task.test.ts
@@ -1,5 +1,5 @@
 import {afterEach, describe, expect, it} from 'vitest';
-import {Random, fail, ok, representativesOf} from '@pistachiorill/core';
+import {Random, fail, ok, selectRepresentatives} from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
 import {PeerSet} from '../../peers/peer_set.js';
 import {MemberDirectory} from '../../ports/member_directory.js';
@@ -105,7 +105,7 @@
     ['the store if the reader has an old list', 40, 'other', 4_000],
   ] as const)('reads %s', async (unusedName, vmCount, role, ageMs) => {
     const names = Array.from({length: vmCount}, (unused, i) => `vm-${i}`);
-    const readers = representativesOf('members', names);
+    const readers = selectRepresentatives('members', names);
     const vm = names.find(
       name => readers.includes(name) === (role === 'reader'),
     );
--- a/packages/gateway/src/operators/configuration_task.ts
+++ b/packages/gateway/src/operators/configuration_task.ts
@@ -25,7 +25,7 @@
   | {readonly kind: 'stop'};
 
 /** Collaborators of the configuration task. */
-export interface ConfigurationTools {
+export interface ConfigurationDependencies {
   readonly source: ConfigurationSource;
   readonly peers: PeerSet;
   readonly onApplied: (state: OperatorState) => void;
@@ -42,7 +42,7 @@
   private current: OperatorState | undefined;
   private phase: 'running' | 'stopped' = 'running';
 
-  constructor(private readonly deps: ConfigurationTools) {
+  constructor(private readonly deps: ConfigurationDependencies) {
     super();
   }
 
--- a/packages/gateway/src/operators/directory_task.ts
+++ b/packages/gateway/src/operators/directory_task.ts
@@ -1,4 +1,4 @@
-import {representativesOf} from '@pistachiorill/core';
+import {selectRepresentatives} from '@pistachiorill/core';
 import {Task} from '@pistachiorill/tasks';
 import type {Clock, Reply} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
@@ -60,7 +60,7 @@
 type ListedMessage = Extract<DirectoryMessage, {kind: 'listed'}>;
 
 /** Collaborators of the directory task. */
-export interface DirectoryTools {
+export interface DirectoryDependencies {
   readonly vm: string;
   /** Names of the registered VMs. */
   readonly vms: () => readonly string[];
@@ -92,7 +92,7 @@
   /** The list published last, as JSON. */
   private published = '';
 
-  constructor(private readonly deps: DirectoryTools) {
+  constructor(private readonly deps: DirectoryDependencies) {
     super();
   }
 
@@ -159,7 +159,7 @@
     const readers = this.readers();
     if (readers.length === 0 || readers.includes(vm)) return undefined;
     const [reader] = peers.sample(1, undefined, readers);
-    if (reader === undefined || peers.isSilent(reader)) return undefined;
+    if (reader === undefined || peers.isUnresponsive(reader)) return undefined;
     const relayed = await this.askPeer(reader);
     if (!relayed || clock() - relayed.asOf > MAX_RELAYED_AGE_MS) {
       return undefined;
@@ -183,7 +183,7 @@
   /** The VMs that read the store for all others; none if every VM reads it. */
   private readers(): readonly string[] {
     const vms = this.deps.vms();
-    const readers = representativesOf(READERS_KEY, vms);
+    const readers = selectRepresentatives(READERS_KEY, vms);
     return readers.length < vms.length ? readers : [];
   }
 
--- a/packages/gateway/src/peers/gateway_handlers.ts
+++ b/packages/gateway/src/peers/gateway_handlers.ts
@@ -1,4 +1,4 @@
-import type {LogPosition, PrimarySighting} from '@pistachiorill/core';
+import type {LogPosition, PrimaryObservation} from '@pistachiorill/core';
 import type {RelayedRows} from '../fleet/fleet_task.js';
 import type {RelayedMembers} from '../operators/directory_task.js';
 import type {StopRequest} from './gateway_router.js';
@@ -18,7 +18,7 @@
     req: StopRequest,
   ): Promise<{readonly seen: LogPosition | null}>;
   /** Returns this VM's primary observation for a group. */
-  abstract sight(group: string): Promise<PrimarySighting>;
+  abstract sight(group: string): Promise<PrimaryObservation>;
   /** Makes this VM, as the coordinator, evaluate a group's primary. */
   abstract suspect(group: string): void;
   /** Returns this VM's copy of the shared rows, if it has one. */
--- a/packages/gateway/src/peers/peer_set.ts
+++ b/packages/gateway/src/peers/peer_set.ts
@@ -2,7 +2,7 @@
 import {fail} from '@pistachiorill/core';
 import type {
   LogPosition,
-  PrimarySighting,
+  PrimaryObservation,
   Random,
   Result,
 } from '@pistachiorill/core';
@@ -86,7 +86,7 @@
   }
 
   /** Whether the last calls to a peer got no answer. */
-  isSilent(vm: string): boolean {
+  isUnresponsive(vm: string): boolean {
     return (this.peers.get(vm)?.failures ?? 0) >= MAX_CONSECUTIVE_FAILURES;
   }
 
@@ -100,7 +100,11 @@
   }
 
   /** Asks a VM for its primary observation. */
-  sight(vm: string, group: string, timeoutMs: number): Answer<PrimarySighting> {
+  sight(
+    vm: string,
+    group: string,
+    timeoutMs: number,
+  ): Answer<PrimaryObservation> {
     return this.call(vm, timeoutMs, (c, o) => c.sight.mutate({group}, o));
   }
 
--- a/packages/gateway/src/ports/configuration_source.ts
+++ b/packages/gateway/src/ports/configuration_source.ts
@@ -1,10 +1,10 @@
-import type {Result, ServedConfiguration} from '@pistachiorill/core';
+import type {Result, RuntimeConfiguration} from '@pistachiorill/core';
 import type {StoreReadError} from '@pistachiorill/store';
 
 /** The configuration and other operator decisions that are in force. */
 export interface OperatorState {
   /** Undefined before the first configuration. */
-  readonly configuration: ServedConfiguration | undefined;
+  readonly configuration: RuntimeConfiguration | undefined;
   /** Data centres whose members receive no statements. */
   readonly dataCentresOut: ReadonlySet<string>;
   /** The encoded form, which is passed to VMs that cannot read the store. */
--- a/packages/gateway/src/ports/member_link.ts
+++ b/packages/gateway/src/ports/member_link.ts
@@ -116,11 +116,11 @@
   /** Closes the connection; the member rolls back an open transaction. */
   abstract close(): void;
   /** Parses the response to `status` or `step-down`; undefined on failure. */
-  abstract statusOf(answer: MemberAnswer): MemberStatus | undefined;
+  abstract parseStatus(answer: MemberAnswer): MemberStatus | undefined;
 }
 
 /** Creates connections to members. */
-export abstract class MemberLinks {
+export abstract class MemberLinkFactory {
   /**
    * Creates a connection, which is not open yet. The member receives the
    * workspace's name, but never its key.
--- a/packages/gateway/src/ports/primary_orders.ts
+++ b/packages/gateway/src/ports/primary_orders.ts
@@ -1,7 +1,7 @@
 import type {Result} from '@pistachiorill/core';
 
 /** A request to promote a member to the primary of its group. */
-export interface PromotionOrder {
+export interface PromotionRequest {
   readonly group: string;
   readonly member: string;
   /** The coordinator that makes the request. */
@@ -11,7 +11,7 @@
 }
 
 /** Why a promotion is not confirmed. */
-export type OrderError =
+export type PromotionError =
   /** The member cannot be promoted. */
   | {readonly kind: 'rejected'; readonly detail: string}
   /** The request had no effect. */
@@ -20,10 +20,10 @@
   | {readonly kind: 'unknown-outcome'; readonly detail: string};
 
 /** Requests promotions from the platform that runs the members. */
-export abstract class PrimaryOrders {
+export abstract class PrimaryPromoter {
   /** Requests a promotion and waits for its result. */
   abstract promote(
-    order: PromotionOrder,
+    order: PromotionRequest,
     timeoutMs: number,
-  ): Promise<Result<void, OrderError>>;
+  ): Promise<Result<void, PromotionError>>;
 }
--- a/packages/gateway/src/quota/__tests__/quota_task.test.ts
+++ b/packages/gateway/src/quota/__tests__/quota_task.test.ts
@@ -15,7 +15,7 @@
     startedAt: 100,
     sharePpm: () => 250_000,
     rateHolders: () => [],
-    knowsShares: () => true,
+    hasProvenShares: () => true,
     peers: new PeerSet(new Random(1)),
     log: silentLogger(),
     onFailed: err => {
--- a/packages/gateway/src/quota/quota_task.ts
+++ b/packages/gateway/src/quota/quota_task.ts
@@ -1,11 +1,11 @@
 import {
-  WHOLE_PPM,
+  FULL_SHARE_PPM,
   accrueTokens,
   emptyBucket,
-  noteDemand,
-  peersToAsk,
-  tokensToAsk,
-  tokensToGive,
+  recordDemand,
+  requestedPeerCount,
+  tokensToRequest,
+  tokensToTransfer,
 } from '@pistachiorill/core';
 import type {QuotaLimits, TokenBucket} from '@pistachiorill/core';
 import {Task} from '@pistachiorill/tasks';
@@ -67,7 +67,7 @@
   | {readonly kind: 'tick'};
 
 /** Collaborators of the quota task. */
-export interface QuotaTools {
+export interface QuotaDependencies {
   readonly clock: Clock;
   /** When this process started, on the same clock. */
   readonly startedAt: number;
@@ -79,7 +79,7 @@
   /** The rate holders of a workspace: the VMs that may spend its rate. */
   readonly rateHolders: (workspace: string) => readonly string[];
   /** Whether the table of shares is proven to be recent. */
-  readonly knowsShares: () => boolean;
+  readonly hasProvenShares: () => boolean;
   readonly peers: PeerSet;
   readonly log: Logger;
   readonly onFailed: (err: unknown) => void;
@@ -105,7 +105,7 @@
   /** When a proven table of shares was first available. */
   private sharesKnownSince: number | undefined;
 
-  constructor(private readonly deps: QuotaTools) {
+  constructor(private readonly deps: QuotaDependencies) {
     super();
   }
 
@@ -183,7 +183,7 @@
       message.reply.answer({kind: 'refused', retryAfterMs: 0});
       return;
     }
-    account.bucket = noteDemand(account.bucket, now);
+    account.bucket = recordDemand(account.bucket, now);
     const {until, untilAtStart, reply} = message;
     account.waiting.push({
       until: this.isInStartPeriod(now) ? untilAtStart : until,
@@ -212,7 +212,7 @@
       return false;
     });
     this.reportRefusals(workspace, account, now);
-    const asked = tokensToAsk(account.bucket, account.waiting.length, now);
+    const asked = tokensToRequest(account.bucket, account.waiting.length, now);
     if (asked > 0 && now >= account.askAt) {
       account.askAt = now + ASK_INTERVAL_MS;
       this.askPeers(workspace, account, asked);
@@ -248,7 +248,7 @@
   }
 
   private isInStartPeriod(now: number): boolean {
-    if (this.sharesKnownSince === undefined && this.deps.knowsShares()) {
+    if (this.sharesKnownSince === undefined && this.deps.hasProvenShares()) {
       this.sharesKnownSince = now;
     }
     const since = this.sharesKnownSince;
@@ -258,7 +258,7 @@
   /** Estimated time in milliseconds until a token is available, at most 1 s. */
   private untilNextToken(workspace: string, {limits, bucket}: Account): number {
     const sharePpm = this.donorPpm(workspace);
-    const perSecond = (limits.rate * sharePpm) / WHOLE_PPM;
+    const perSecond = (limits.rate * sharePpm) / FULL_SHARE_PPM;
     const missing = Math.max(0, 1 - bucket.tokens);
     return Math.min(
       1_000,
@@ -269,13 +269,13 @@
   /** Share of the rate, in parts per million, that each rate holder has. */
   private donorPpm(workspace: string): number {
     const holderCount = this.deps.rateHolders(workspace).length;
-    return holderCount > 0 ? WHOLE_PPM / holderCount : 0;
+    return holderCount > 0 ? FULL_SHARE_PPM / holderCount : 0;
   }
 
   private askPeers(workspace: string, account: Account, tokens: number): void {
     const {peers, rateHolders} = this.deps;
     const names = peers.sample(
-      peersToAsk(account.limits, this.donorPpm(workspace), tokens),
+      requestedPeerCount(account.limits, this.donorPpm(workspace), tokens),
       account.donor,
       rateHolders(workspace),
     );
@@ -322,7 +322,7 @@
     const account = this.accounts.get(workspace);
     if (!account || account.waiting.length > 0) return 0;
     this.accrue(workspace, account, now);
-    const given = tokensToGive(account.bucket, asked, now);
+    const given = tokensToTransfer(account.bucket, asked, now);
     account.bucket = {
       ...account.bucket,
       tokens: account.bucket.tokens - given,
--- a/packages/gateway/src/quota/workspace_shares.ts
+++ b/packages/gateway/src/quota/workspace_shares.ts
@@ -1,4 +1,4 @@
-import {homeShare, homesOf} from '@pistachiorill/core';
+import {rateHolderSharePpm, rateHoldersOf} from '@pistachiorill/core';
 import type {ShareTable} from '@pistachiorill/core';
 
 /**
@@ -12,19 +12,23 @@
   constructor(private readonly vm: string) {}
 
   /** Returns the rate holders of a workspace. */
-  homesOf(table: ShareTable, workspace: string): readonly string[] {
+  rateHoldersOf(table: ShareTable, workspace: string): readonly string[] {
     if (this.table !== table) {
       this.table = table;
       this.rateHolders.clear();
     }
     const holders =
-      this.rateHolders.get(workspace) ?? homesOf(table, workspace);
+      this.rateHolders.get(workspace) ?? rateHoldersOf(table, workspace);
     this.rateHolders.set(workspace, holders);
     return holders;
   }
 
   /** Returns this VM's share of a workspace's rate, in parts per million. */
   shareOf(table: ShareTable, workspace: string): number {
-    return homeShare(table, this.homesOf(table, workspace), this.vm);
+    return rateHolderSharePpm(
+      table,
+      this.rateHoldersOf(table, workspace),
+      this.vm,
+    );
   }
 }
--- a/packages/gateway/src/session/__tests__/place_filter.test.ts
+++ b/packages/gateway/src/session/__tests__/place_filter.test.ts
@@ -77,7 +77,7 @@
     'reports an unknown outcome for a write without a response',
     'write',
     STRICT,
-    fake => (fake.member('a').mood = 'loses-answers'),
+    fake => (fake.member('a').mode = 'loses-answers'),
   ],
   [
     'retries a write that the member refuses once as busy',
@@ -114,7 +114,7 @@
     'refuses a strict read if the primary accepts no connections',
     'read',
     STRICT,
-    fake => (fake.member('a').mood = 'refuses-connections'),
+    fake => (fake.member('a').mode = 'refuses-connections'),
   ],
   [
     'runs a bounded-age read on the primary if no log position is known',
@@ -181,7 +181,7 @@
     group = fake;
     const record = {phase: 'moving', from: 'a', reason: 'leaving'} as const;
     fake.task.tell({kind: 'leadership', leadership: {record, version: 2}});
-    setTimeout(() => fake.settle('b', 3), 40);
+    setTimeout(() => fake.setPrimary('b', 3), 40);
     fake.member('b').role = 'primary';
     const {result, requests} = await place(fake, statement('write'));
     expect({result, formerPrimaryRequests: requests['a']}).toMatchSnapshot();
--- a/packages/gateway/src/session/__tests__/session_task.test.ts
+++ b/packages/gateway/src/session/__tests__/session_task.test.ts
@@ -1,5 +1,5 @@
 import {afterEach, describe, expect, it} from 'vitest';
-import type {ServedConfiguration} from '@pistachiorill/core';
+import type {RuntimeConfiguration} from '@pistachiorill/core';
 import {Pipeline} from '@pistachiorill/tasks';
 import {CallerLink} from '../../ports/caller_link.js';
 import type {
@@ -58,7 +58,7 @@
   }
 }
 
-const CONFIGURATION: ServedConfiguration = {
+const CONFIGURATION: RuntimeConfiguration = {
   version: 1,
   routes: new Map([
     [
@@ -107,7 +107,7 @@
       ),
       database: () => fake.task,
       configuration: () => state.configuration,
-      refund: () => undefined,
+      refundToken: () => undefined,
       clock,
       log,
       metrics: new GatewayMetrics(),
@@ -221,7 +221,7 @@
     const {fake, caller, open, run} = start();
     open();
     await run(BEGIN, WRITE);
-    fake.member('a').mood = 'loses-answers';
+    fake.member('a').mode = 'loses-answers';
     await run(COMMIT);
     expect(caller.seen.at(-1)).toBe(
       'refused: unknown-outcome, transaction none',
--- a/packages/gateway/src/session/conclude_fault.ts
+++ b/packages/gateway/src/session/conclude_fault.ts
@@ -14,7 +14,7 @@
 ): {conclusion: 'retry' | 'final'; refusal: SessionRefusal} {
   switch (concludeAttempt(effect, scope, fault.failure)) {
     case 'retry':
-      return {conclusion: 'retry', refusal: busy(fault.detail, 50)};
+      return {conclusion: 'retry', refusal: busyRefusal(fault.detail, 50)};
     case 'nothing-kept':
       return {
         conclusion: 'final',
@@ -41,6 +41,9 @@
 }
 
 /** Creates the refusal of a statement that was not run. */
-export function busy(detail: string, retryAfterMs: number): SessionRefusal {
+export function busyRefusal(
+  detail: string,
+  retryAfterMs: number,
+): SessionRefusal {
   return {kind: 'busy', detail, retryAfterMs};
 }
--- a/packages/gateway/src/session/open_transaction.ts
+++ b/packages/gateway/src/session/open_transaction.ts
@@ -7,9 +7,9 @@
 } from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
-import type {LeaseValidity} from '../database/database_message.js';
+import type {CheckoutValidity} from '../database/database_message.js';
 import type {DatabaseTask} from '../database/database_task.js';
-import type {Lease} from '../database/lease.js';
+import type {Checkout} from '../database/lease.js';
 import type {JobFault, JobResult} from '../database/member_connection.js';
 import type {SessionRefusal} from '../ports/caller_link.js';
 import type {MemberAnswer, MemberCommand} from '../ports/member_link.js';
@@ -36,7 +36,7 @@
   constructor(
     /** The route's statement timeout when the transaction began. */
     readonly statementTimeoutMs: number,
-    private readonly checkout: Lease,
+    private readonly checkout: Checkout,
     private readonly database: DatabaseTask,
     private readonly clock: Clock,
   ) {}
@@ -50,7 +50,7 @@
   ): Promise<Result<MemberAnswer, SessionRefusal>> {
     const {id, command, prepared, values, deadline, access} = statement;
     const result = await this.send({id, command, prepared, values, deadline});
-    const validity = await ask<LeaseValidity>(reply =>
+    const validity = await ask<CheckoutValidity>(reply =>
       this.database.tell({kind: 'confirm', checkout: this.checkout, reply}),
     );
     if (result.ok && validity === 'valid') {
--- a/packages/gateway/src/session/place_filter.ts
+++ b/packages/gateway/src/session/place_filter.ts
@@ -3,13 +3,17 @@
 import {ask, sleep} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
-import type {LeaseValidity} from '../database/database_message.js';
+import type {CheckoutValidity} from '../database/database_message.js';
 import type {DatabaseTask} from '../database/database_task.js';
-import type {Lease, LeaseNeed, LeaseRefusal} from '../database/lease.js';
+import type {
+  Checkout,
+  CheckoutRequirement,
+  CheckoutRefusal,
+} from '../database/lease.js';
 import type {JobFault, JobResult} from '../database/member_connection.js';
 import type {SessionRefusal} from '../ports/caller_link.js';
 import type {MemberAnswer} from '../ports/member_link.js';
-import {busy, concludeFault} from './conclude_fault.js';
+import {busyRefusal, concludeFault} from './conclude_fault.js';
 import type {RoutedStatement} from './session_statement.js';
 
 /** The maximum number of members on which one statement is tried. */
@@ -35,11 +39,11 @@
 /** A member's answer and the checkout, which a new transaction keeps. */
 export interface PlacedAnswer {
   readonly answer: MemberAnswer;
-  readonly checkout: Lease;
+  readonly checkout: Checkout;
 }
 
 /** The services of the VM that the filter uses. */
-export interface PlaceTools {
+export interface PlaceDependencies {
   readonly database: (group: string) => DatabaseTask | undefined;
   readonly clock: Clock;
   readonly log: Logger;
@@ -66,7 +70,7 @@
 > {
   override readonly name = 'place';
 
-  constructor(private readonly deps: PlaceTools) {
+  constructor(private readonly deps: PlaceDependencies) {
     super();
   }
 
@@ -128,14 +132,17 @@
       if (!database) {
         return fail({
           conclusion: 'final',
-          refusal: busy('the group is not known', 100),
+          refusal: busyRefusal('the group is not known', 100),
         });
       }
       const checkedOut = await this.checkOut(database, statement, avoid);
       if (!checkedOut.ok) {
         return fail({
           conclusion: 'final',
-          refusal: busy(checkedOut.err.detail, checkedOut.err.retryAfterMs),
+          refusal: busyRefusal(
+            checkedOut.err.detail,
+            checkedOut.err.retryAfterMs,
+          ),
         });
       }
       member = checkedOut.value.member;
@@ -148,7 +155,7 @@
     database: DatabaseTask,
     statement: RoutedStatement,
     avoid: readonly string[],
-  ): Promise<Result<Lease, LeaseRefusal>> {
+  ): Promise<Result<Checkout, CheckoutRefusal>> {
     const {route, workspace, values, regions, deadline} = statement;
     const requirement = requirementOf(statement);
     const now = this.deps.clock();
@@ -166,7 +173,7 @@
           use: statement.begin === undefined ? 'statement' : 'transaction',
           requirement,
           // There is only one primary, so it gets a second attempt.
-          avoid:
+          excluded:
             requirement.kind === 'primary' && avoid.length <= 1 ? [] : avoid,
           regions,
           until,
@@ -182,7 +189,7 @@
    */
   private async execute(
     database: DatabaseTask,
-    checkout: Lease,
+    checkout: Checkout,
     statement: RoutedStatement,
   ): Promise<AttemptResult> {
     const {id, command, prepared, begin, values, deadline} = statement;
@@ -200,7 +207,7 @@
         reply,
       }),
     );
-    const validity = await ask<LeaseValidity>(reply =>
+    const validity = await ask<CheckoutValidity>(reply =>
       database.tell({kind: 'confirm', checkout, reply}),
     );
     const pin = begin !== undefined && ran.ok;
@@ -219,7 +226,7 @@
   /** Returns a connection; one with an open transaction is closed first. */
   private checkIn(
     database: DatabaseTask,
-    checkout: Lease,
+    checkout: Checkout,
     begin: RoutedStatement['begin'],
   ): void {
     if (begin !== undefined) checkout.connection.tell({kind: 'close'});
@@ -229,7 +236,7 @@
   /** Reports a fault to the group's task and decides on a retry. */
   private failed(
     database: DatabaseTask,
-    checkout: Lease,
+    checkout: Checkout,
     statement: RoutedStatement,
     fault: JobFault,
   ): AttemptResult {
@@ -284,7 +291,7 @@
   access,
   begin,
   seen,
-}: RoutedStatement): LeaseNeed {
+}: RoutedStatement): CheckoutRequirement {
   const isRead = begin === undefined ? access === 'read' : begin === 'read';
   if (!isRead || route.consistency === 'strict') return {kind: 'primary'};
   return {
--- a/packages/gateway/src/session/route_filter.ts
+++ b/packages/gateway/src/session/route_filter.ts
@@ -1,15 +1,15 @@
 import {Filter, fail, ok} from '@pistachiorill/core';
-import type {Result, ServedConfiguration} from '@pistachiorill/core';
+import type {Result, RuntimeConfiguration} from '@pistachiorill/core';
 import type {SessionRefusal} from '../ports/caller_link.js';
-import {ANONYMOUS} from './session_statement.js';
+import {ANONYMOUS_WORKSPACE} from './session_statement.js';
 import type {ReceivedStatement, RoutedStatement} from './session_statement.js';
 
 /** How soon a caller may retry on a VM without a configuration. */
 const STARTUP_RETRY_AFTER_MS = 500;
 
 /** Looks up a database's route and the workspace of a key. */
-export function findCaller(
-  configuration: ServedConfiguration | undefined,
+export function resolveCaller(
+  configuration: RuntimeConfiguration | undefined,
   database: string,
   key: string,
 ): Result<
@@ -30,7 +30,12 @@
       return fail({kind: 'bad-key', detail: 'the key is unknown or withdrawn'});
     }
     const {regions} = route;
-    return ok({route, workspace: ANONYMOUS, caller: 'anonymous', regions});
+    return ok({
+      route,
+      workspace: ANONYMOUS_WORKSPACE,
+      caller: 'anonymous',
+      regions,
+    });
   }
   return ok({
     route,
@@ -69,7 +74,7 @@
     statement: ReceivedStatement,
   ): Result<RoutedStatement, SessionRefusal> {
     const {configuration, database, key, receivedAt} = statement;
-    const found = findCaller(configuration, database, key);
+    const found = resolveCaller(configuration, database, key);
     if (!found.ok) return found;
     return ok({
       ...statement,
--- a/packages/gateway/src/session/session_message.ts
+++ b/packages/gateway/src/session/session_message.ts
@@ -1,4 +1,4 @@
-import type {ServedConfiguration} from '@pistachiorill/core';
+import type {RuntimeConfiguration} from '@pistachiorill/core';
 import type {Clock, Pipeline} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
 import type {DatabaseTask} from '../database/database_task.js';
@@ -25,15 +25,15 @@
   | {readonly kind: 'transaction-idle'};
 
 /** The pipelines and services that all sessions of a VM share. */
-export interface SessionTools {
+export interface SessionDependencies {
   /** Authenticates a statement and applies the workspace's rate limit. */
   readonly admit: Pipeline<ReceivedStatement, RoutedStatement, SessionRefusal>;
   /** Runs an admitted statement on a member. */
   readonly place: Pipeline<RoutedStatement, PlacedAnswer, SessionRefusal>;
   readonly database: (group: string) => DatabaseTask | undefined;
-  readonly configuration: () => ServedConfiguration | undefined;
+  readonly configuration: () => RuntimeConfiguration | undefined;
   /** Returns the token of an operation that was not run to its workspace. */
-  readonly refund: (workspace: string) => void;
+  readonly refundToken: (workspace: string) => void;
   readonly clock: Clock;
   readonly log: Logger;
   readonly metrics: GatewayMetrics;
--- a/packages/gateway/src/session/session_statement.ts
+++ b/packages/gateway/src/session/session_statement.ts
@@ -2,7 +2,7 @@
   DatabaseRoute,
   LogPosition,
   PreparedStatement,
-  ServedConfiguration,
+  RuntimeConfiguration,
   SessionValues,
   StatementAccess,
 } from '@pistachiorill/core';
@@ -24,7 +24,7 @@
   /** The log position of the session's last commit. */
   readonly seen: LogPosition | undefined;
   /** Undefined until the VM has received a configuration. */
-  readonly configuration: ServedConfiguration | undefined;
+  readonly configuration: RuntimeConfiguration | undefined;
 }
 
 /** A statement with its route and the workspace that it runs for. */
@@ -40,4 +40,4 @@
 }
 
 /** Sent to members in place of a workspace for callers without a key. */
-export const ANONYMOUS = '-';
+export const ANONYMOUS_WORKSPACE = '-';
--- a/packages/gateway/src/session/session_task.ts
+++ b/packages/gateway/src/session/session_task.ts
@@ -15,8 +15,8 @@
 } from '../ports/caller_link.js';
 import type {MemberAnswer, MemberCommand} from '../ports/member_link.js';
 import {OpenTransaction} from './open_transaction.js';
-import {findCaller} from './route_filter.js';
-import type {SessionMessage, SessionTools} from './session_message.js';
+import {resolveCaller} from './route_filter.js';
+import type {SessionMessage, SessionDependencies} from './session_message.js';
 
 /** The state of a session's transaction. */
 type SessionTransaction =
@@ -42,7 +42,7 @@
 
   constructor(
     private readonly link: CallerLink,
-    private readonly deps: SessionTools,
+    private readonly deps: SessionDependencies,
     private readonly onEnded: () => void,
   ) {
     super();
@@ -106,7 +106,7 @@
   }
 
   private open(database: string, key: string): void {
-    const found = findCaller(this.deps.configuration(), database, key);
+    const found = resolveCaller(this.deps.configuration(), database, key);
     if (!found.ok) {
       this.deps.metrics.refused(found.err.kind);
       this.deps.log.info(
@@ -292,7 +292,7 @@
     if (!placed.ok) {
       const {workspace, caller} = admitted.value;
       if (placed.err.kind === 'busy' && caller === 'keyed') {
-        this.deps.refund(workspace);
+        this.deps.refundToken(workspace);
       }
       return placed;
     }
@@ -346,7 +346,7 @@
   private async handleReconfiguration(): Promise<void> {
     if (this.phase === 'new') return;
     const configuration = this.deps.configuration();
-    const found = findCaller(configuration, this.database, this.key);
+    const found = resolveCaller(configuration, this.database, this.key);
     if (found.ok) return;
     await this.failTransaction();
     if (this.transaction.kind !== 'none') return;
--- a/packages/gateway/src/testing/fake_group.ts
+++ b/packages/gateway/src/testing/fake_group.ts
@@ -1,9 +1,12 @@
-import type {PrimaryRight, VersionedLeadership} from '@pistachiorill/core';
+import type {
+  PrimaryLeaseDecision,
+  VersionedLeadership,
+} from '@pistachiorill/core';
 import {createLogger} from '@pistachiorill/telemetry';
 import type {Logger} from '@pistachiorill/telemetry';
 import {DatabaseTask} from '../database/database_task.js';
 import type {ListedMember} from '../ports/member_directory.js';
-import {FakeLinks} from './fake_member.js';
+import {FakeLinkFactory} from './fake_member.js';
 
 /** Creates a logger that writes nothing. */
 export function silentLogger(): Logger {
@@ -32,12 +35,12 @@
 
 /** The task of a group with three fake members, of which `a` is primary. */
 export class FakeGroup {
-  readonly links = new FakeLinks();
+  readonly links = new FakeLinkFactory();
   readonly task: DatabaseTask;
   /** The primaries that the task reported as unreachable. */
-  readonly suspects: string[] = [];
+  readonly unreachablePrimaries: string[] = [];
   /** Overrides the primary lease that follows from the leadership record. */
-  primaryLease: PrimaryRight | undefined;
+  primaryLease: PrimaryLeaseDecision | undefined;
 
   constructor(connectionLimit = 8) {
     for (const name of ['a', 'b', 'c']) this.links.add(name);
@@ -47,18 +50,20 @@
       regionOf: () => 'ga',
       links: this.links,
       clock: () => performance.now(),
-      right: leadership => this.primaryLease ?? primaryLeaseOf(leadership),
-      onSuspect: (unusedGroup, primary) => this.suspects.push(primary),
+      primaryLease: leadership =>
+        this.primaryLease ?? primaryLeaseOf(leadership),
+      onPrimaryUnreachable: (unusedGroup, primary) =>
+        this.unreachablePrimaries.push(primary),
       log: silentLogger(),
       onFailed: err => {
         throw err;
       },
     });
-    this.show(
+    this.setMembers(
       ['a', 'b', 'c'].map(name => listedMember(name)),
       connectionLimit,
     );
-    this.settle('a', 1);
+    this.setPrimary('a', 1);
   }
 
   /** Returns a fake member; throws if there is none of this name. */
@@ -69,7 +74,7 @@
   }
 
   /** Sets the members that the directory lists. */
-  show(members: readonly ListedMember[], connectionLimit = 8): void {
+  setMembers(members: readonly ListedMember[], connectionLimit = 8): void {
     this.task.tell({
       kind: 'view',
       view: {
@@ -87,7 +92,7 @@
   }
 
   /** Sends a leadership record with a settled primary to the task. */
-  settle(primary: string, version: number): void {
+  setPrimary(primary: string, version: number): void {
     const record = {phase: 'settled', primary} as const;
     this.task.tell({kind: 'leadership', leadership: {record, version}});
   }
@@ -99,7 +104,7 @@
 
 function primaryLeaseOf(
   leadership: VersionedLeadership | undefined,
-): PrimaryRight {
+): PrimaryLeaseDecision {
   if (!leadership) return {kind: 'denied', reason: 'no-record'};
   const {record} = leadership;
   return record.phase === 'settled'
--- a/packages/gateway/src/testing/fake_member.ts
+++ b/packages/gateway/src/testing/fake_member.ts
@@ -1,6 +1,6 @@
 import {fail, ok} from '@pistachiorill/core';
 import type {LogPosition, MemberRole, Result} from '@pistachiorill/core';
-import {MemberLink, MemberLinks} from '../ports/member_link.js';
+import {MemberLink, MemberLinkFactory} from '../ports/member_link.js';
 import type {
   LinkFault,
   MemberAnswer,
@@ -16,7 +16,7 @@
  * not respond on open ones; `loses-answers` accepts connections, but does not
  * respond to requests; `connection-limit` rejects connections with an error.
  */
-export type MemberMood =
+export type MemberFaultMode =
   | 'answers'
   | 'silent'
   | 'refuses-connections'
@@ -29,7 +29,7 @@
   term = 1;
   received: LogPosition = {term: 1, position: 10};
   applied: LogPosition = {term: 1, position: 10};
-  mood: MemberMood = 'answers';
+  mode: MemberFaultMode = 'answers';
   /** Errors with which the next requests of a command fail, once each. */
   readonly errors: Array<{readonly command: string; kind: MemberErrorKind}> =
     [];
@@ -61,7 +61,7 @@
   }
 
   override async open(): Promise<Result<void, LinkFault>> {
-    const {mood: mode} = this.member;
+    const {mode: mode} = this.member;
     if (mode === 'silent' || mode === 'refuses-connections') {
       this.phase = 'closed';
       return fail({kind: 'not-sent', detail: 'no connection'});
@@ -89,7 +89,7 @@
       return fail({kind: 'not-sent', detail: 'closed'});
     }
     member.requests.push(describe(request));
-    if (member.mood === 'silent' || member.mood === 'loses-answers') {
+    if (member.mode === 'silent' || member.mode === 'loses-answers') {
       await new Promise(resolve =>
         setTimeout(resolve, Math.min(20, timeoutMs)),
       );
@@ -103,7 +103,7 @@
     this.phase = 'closed';
   }
 
-  override statusOf(): MemberStatus | undefined {
+  override parseStatus(): MemberStatus | undefined {
     const {role, term, received, applied} = this.member;
     return {role, term, received, applied};
   }
@@ -133,7 +133,7 @@
 }
 
 /** Creates connections to fake members by name. */
-export class FakeLinks extends MemberLinks {
+export class FakeLinkFactory extends MemberLinkFactory {
   readonly members = new Map<string, FakeMember>();
 
   /** Adds a member that can be connected to. */
--- a/packages/gateway/src/testing/fake_store.ts
+++ b/packages/gateway/src/testing/fake_store.ts
@@ -5,24 +5,24 @@
   RowTransaction,
   StoreReadError,
   StoreWriteError,
-  TableAnswer,
+  TableReadResult,
   TableRow,
-  TransactionAnswer,
+  TransactionResult,
 } from '@pistachiorill/store';
 
 /**
  * How a fake store handles requests. `loses-answers` applies transactions but
  * reports an unknown outcome.
  */
-export type StoreMood = 'answers' | 'down' | 'loses-answers';
+export type StoreFaultMode = 'answers' | 'down' | 'loses-answers';
 
 /** An in-memory store whose clock is 1,000 s ahead of the caller's. */
 export class FakeStore extends TransactionalStore {
   readonly rows = new Map<string, TableRow>();
   version = 1;
   /** The number of `changes` requests that returned changes. */
-  newsAnswered = 0;
-  mood: StoreMood = 'answers';
+  changesDelivered = 0;
+  mode: StoreFaultMode = 'answers';
   private readonly history: Array<{key: string; version: number}> = [];
   private pendingPolls: Array<() => void> = [];
 
@@ -39,16 +39,16 @@
     for (const wake of this.pendingPolls.splice(0)) wake();
   }
 
-  override async readAll(): Promise<Result<TableAnswer, StoreReadError>> {
-    if (this.mood === 'down') return fail({kind: 'unavailable', detail: ''});
+  override async readAll(): Promise<Result<TableReadResult, StoreReadError>> {
+    if (this.mode === 'down') return fail({kind: 'unavailable', detail: ''});
     return ok(this.answer([...this.rows.values()], []));
   }
 
   override async changes(
     after: number,
     waitMs: number,
-  ): Promise<Result<TableAnswer, StoreReadError>> {
-    if (this.mood === 'down') return fail({kind: 'unavailable', detail: ''});
+  ): Promise<Result<TableReadResult, StoreReadError>> {
+    if (this.mode === 'down') return fail({kind: 'unavailable', detail: ''});
     if (this.version <= after) {
       await new Promise<void>(resolve => {
         const timer = setTimeout(resolve, Math.min(waitMs, 50));
@@ -61,7 +61,7 @@
     const keys = new Set(
       this.history.filter(item => item.version > after).map(item => item.key),
     );
-    if (keys.size > 0) this.newsAnswered++;
+    if (keys.size > 0) this.changesDelivered++;
     const rows = [...keys].flatMap(key => this.rows.get(key) ?? []);
     const removed = [...keys].filter(key => !this.rows.has(key));
     return ok(this.answer(rows, removed));
@@ -71,8 +71,8 @@
     expected,
     puts,
     removals = [],
-  }: RowTransaction): Promise<Result<TransactionAnswer, StoreWriteError>> {
-    if (this.mood === 'down') return fail({kind: 'unavailable', detail: ''});
+  }: RowTransaction): Promise<Result<TransactionResult, StoreWriteError>> {
+    if (this.mode === 'down') return fail({kind: 'unavailable', detail: ''});
     for (const [key, version] of expected) {
       const current = this.rows.get(key)?.version ?? 0;
       if (current !== version) return fail({kind: 'conflict'});
@@ -83,7 +83,7 @@
     }
     for (const [key, value] of puts) this.put(key, JSON.parse(value));
     for (const wake of this.pendingPolls.splice(0)) wake();
-    if (this.mood === 'loses-answers') {
+    if (this.mode === 'loses-answers') {
       return fail({kind: 'unknown-outcome', detail: 'lost'});
     }
     return ok({version: this.version, ...this.timing()});
@@ -92,7 +92,7 @@
   private answer(
     rows: readonly TableRow[],
     removed: readonly string[],
-  ): TableAnswer {
+  ): TableReadResult {
     return {rows, removed, version: this.version, ...this.timing()};
   }
 
--- a/packages/launcher/src/__tests__/configuration.test.ts
+++ b/packages/launcher/src/__tests__/configuration.test.ts
@@ -4,7 +4,7 @@
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {Fleet} from '../fleet.js';
 import type {RunningVm} from '../fleet.js';
-import {AUTHORITY} from '../profile.js';
+import {AUTHORITY_PROFILE} from '../profile.js';
 
 const BUILD_FOLDER = fileURLToPath(
   new URL('../../../../build', import.meta.url),
@@ -21,14 +21,14 @@
 describe('configuration changes over separate processes', () => {
   const fleet = new Fleet(
     {
-      ...AUTHORITY,
+      ...AUTHORITY_PROFILE,
       vmCount: 3,
       databaseCount: 1,
       statementMs: STATEMENT_MS,
     },
     BUILD_FOLDER,
   );
-  const [large, small] = AUTHORITY.workspaces;
+  const [large, small] = AUTHORITY_PROFILE.workspaces;
 
   beforeAll(() => fleet.start());
   afterAll(() => fleet.stop());
@@ -45,7 +45,7 @@
       port: vmIn(dataCentre).clientPort,
       user: workspace?.name ?? '',
       password: workspace?.key ?? '',
-      database: AUTHORITY.service,
+      database: AUTHORITY_PROFILE.service,
     });
     const closed = new Promise<string>(resolve => {
       connection.on('error', () => resolve('closed'));
@@ -166,12 +166,12 @@
   // Guards against a VM that still accepts callers although the platform is
   // about to remove it.
   it('drains a VM that is listed as leaving', async () => {
-    await fleet.listVms(fleet.vms, [vmIn('perry-b').name]);
+    await fleet.publishVmList(fleet.vms, [vmIn('perry-b').name]);
     const expected = 'draining listed-leaving';
     expect(await waitForValue(() => lifecycleOf('perry-b'), expected)).toBe(
       expected,
     );
-    await fleet.listVms();
+    await fleet.publishVmList();
     // Guards against a VM that keeps draining after the platform lists it as
     // live again. Later tests need it serving, as it cannot receive a change of
     // the list during an outage.
@@ -234,7 +234,7 @@
     const {name} = vmIn('warner-c');
     const before = await statusOf('warner-c');
     await vmIn('warner-c').child.kill();
-    await fleet.platformFault('outage');
+    await fleet.setPlatformFault('outage');
     await fleet.restartVm(name);
     const {version} = await statusOf('warner-c');
     expect(version).toBe(before.version);
--- a/packages/launcher/src/__tests__/failover.test.ts
+++ b/packages/launcher/src/__tests__/failover.test.ts
@@ -3,7 +3,7 @@
 import {fileURLToPath} from 'node:url';
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {Fleet} from '../fleet.js';
-import {AUTHORITY} from '../profile.js';
+import {AUTHORITY_PROFILE} from '../profile.js';
 import {Writers} from './writers.js';
 
 const BUILD_FOLDER = fileURLToPath(
@@ -16,7 +16,7 @@
 
 describe('failover over separate processes', () => {
   const fleet = new Fleet(
-    {...AUTHORITY, vmCount: 3, databaseCount: 1},
+    {...AUTHORITY_PROFILE, vmCount: 3, databaseCount: 1},
     BUILD_FOLDER,
     'owners',
     'members',
@@ -74,7 +74,7 @@
     const disturbedAt = Date.now();
     await disturb(former);
     const hasServedAfter = (index: number): boolean =>
-      writers.acknowledged.filter(item => item.begunAt > disturbedAt).length >
+      writers.acknowledged.filter(item => item.sentAt > disturbedAt).length >
       index;
     await waitUntil('writes after the failover', () => hasServedAfter(20));
     const resumedAt = writers.acknowledged.find(
@@ -131,11 +131,11 @@
     const primary = (await fleet.primaryOf(DATABASE)) ?? '';
     const before = await fleet.stateOf(primary);
     const connections = await connectAll();
-    await fleet.cut(primary, [fleet.vms[0]?.name ?? '']);
+    await fleet.cutConnections(primary, [fleet.vms[0]?.name ?? '']);
     const writers = new Writers(connections.slice(1));
     await new Promise(resolve => setTimeout(resolve, PARTITION_MS));
     await writers.stop();
-    await fleet.cut(primary, []);
+    await fleet.cutConnections(primary, []);
     const after = await fleet.stateOf(primary);
     const healed = new Writers(connections.slice(0, 1));
     await waitUntil(
@@ -185,7 +185,7 @@
     });
     const switchedAt = Date.now();
     await waitUntil('writes after the switchover', () =>
-      writers.acknowledged.some(item => item.begunAt > switchedAt),
+      writers.acknowledged.some(item => item.sentAt > switchedAt),
     );
     await writers.stop();
     const times = writers.acknowledged.map(item => item.at);
--- a/packages/launcher/src/__tests__/failover_faults.test.ts
+++ b/packages/launcher/src/__tests__/failover_faults.test.ts
@@ -4,7 +4,7 @@
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {Fleet} from '../fleet.js';
 import type {RunningVm} from '../fleet.js';
-import {AUTHORITY} from '../profile.js';
+import {AUTHORITY_PROFILE} from '../profile.js';
 import {Writers} from './writers.js';
 
 const BUILD_FOLDER = fileURLToPath(
@@ -72,7 +72,7 @@
 
 describe('failover while other parts fail', () => {
   const fleet = new Fleet(
-    {...AUTHORITY, vmCount: 3, databaseCount: 1},
+    {...AUTHORITY_PROFILE, vmCount: 3, databaseCount: 1},
     BUILD_FOLDER,
     'owners',
     'members',
@@ -131,7 +131,7 @@
     await waitUntil(
       'writes after the failover',
       () =>
-        writers.acknowledged.filter(item => item.begunAt > since).length > 20,
+        writers.acknowledged.filter(item => item.sentAt > since).length > 20,
     );
   }
 
@@ -160,11 +160,11 @@
       await Promise.all(fleet.vms.map(vm => connect(vm))),
     );
     await waitUntil('the first writes', () => writers.acknowledged.length > 10);
-    await fleet.platformFault('outage');
+    await fleet.setPlatformFault('outage');
     const killedAt = Date.now();
     await fleet.members.get(former)?.kill();
     await waitUntilServed(writers, killedAt);
-    await fleet.platformFault('none');
+    await fleet.setPlatformFault('none');
     await fleet.restartMember(former);
     await waitUntilAllFollow();
     await writers.stop();
@@ -188,7 +188,7 @@
     await waitUntil('the first writes', () =>
       [...loops.values()].every(item => item.acknowledged.length > 3),
     );
-    await fleet.platformFault('slow');
+    await fleet.setPlatformFault('slow');
     await fleet.members.get(former)?.kill();
     let attemptVm: RunningVm | undefined;
     await waitUntil(
@@ -210,7 +210,7 @@
     for (const vm of others) {
       await waitUntilServed(loops.get(vm.name) as Writers, killedAt);
     }
-    await fleet.platformFault('none');
+    await fleet.setPlatformFault('none');
     await fleet.restartMember(former);
     await waitUntilAllFollow();
     await Promise.all([...loops.values()].map(item => item.stop()));
@@ -255,7 +255,7 @@
     await new Promise(resolve => setTimeout(resolve, 1_000));
     paused?.child.signal('SIGSTOP');
     const pausedAt = Date.now();
-    await fleet.cut(
+    await fleet.cutConnections(
       former,
       others.map(vm => vm.name),
     );
@@ -281,7 +281,7 @@
       reads.push(read);
       return read.kind === 'answered';
     });
-    await fleet.cut(former, []);
+    await fleet.cutConnections(former, []);
     await waitUntilAllFollow();
     const excess = await load.excess(
       workspace?.rate ?? 0,
--- a/packages/launcher/src/__tests__/forwarding.test.ts
+++ b/packages/launcher/src/__tests__/forwarding.test.ts
@@ -4,16 +4,16 @@
 import {afterAll, beforeAll, describe, expect, it, vi} from 'vitest';
 import {Fleet} from '../fleet.js';
 import type {RunningVm} from '../fleet.js';
-import {AUTHORITY} from '../profile.js';
+import {AUTHORITY_PROFILE} from '../profile.js';
 
 const BUILD_FOLDER = fileURLToPath(
   new URL('../../../../build', import.meta.url),
 );
-const DATABASE = `${AUTHORITY.service}-1`;
+const DATABASE = `${AUTHORITY_PROFILE.service}-1`;
 
 describe('forwarding over separate processes', () => {
   const fleet = new Fleet(
-    {...AUTHORITY, vmCount: 4, databaseCount: 1},
+    {...AUTHORITY_PROFILE, vmCount: 4, databaseCount: 1},
     BUILD_FOLDER,
     'owners',
   );
@@ -23,7 +23,7 @@
   beforeAll(async () => {
     await fleet.start();
     const owners = groupOwners(
-      {database: DATABASE, connectionLimit: AUTHORITY.connectionLimit},
+      {database: DATABASE, connectionLimit: AUTHORITY_PROFILE.connectionLimit},
       'owners',
       fleet.vms.map(vm => ({vm: vm.name, dataCentre: vm.dataCentre})),
     ).map(item => item.vm);
@@ -36,7 +36,7 @@
   afterAll(() => fleet.stop());
 
   async function connect(vm: RunningVm) {
-    const [workspace] = AUTHORITY.workspaces;
+    const [workspace] = AUTHORITY_PROFILE.workspaces;
     return createConnection({
       host: '127.0.0.1',
       port: vm.clientPort,
--- a/packages/launcher/src/__tests__/operators.test.ts
+++ b/packages/launcher/src/__tests__/operators.test.ts
@@ -5,7 +5,7 @@
 import {fileURLToPath} from 'node:url';
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {Fleet} from '../fleet.js';
-import {AUTHORITY} from '../profile.js';
+import {AUTHORITY_PROFILE} from '../profile.js';
 
 const BUILD_FOLDER = fileURLToPath(
   new URL('../../../../build', import.meta.url),
@@ -19,13 +19,12 @@
 
 describe('the operators’ commands over separate processes', () => {
   const fleet = new Fleet(
-    {...AUTHORITY, vmCount: 3, databaseCount: 1},
+    {...AUTHORITY_PROFILE, vmCount: 3, databaseCount: 1},
     BUILD_FOLDER,
   );
   const folder = mkdtempSync(join(tmpdir(), 'pistachiorill-operators-'));
-  const [firstWorkspace = '', secondWorkspace = ''] = AUTHORITY.workspaces.map(
-    workspace => workspace.name,
-  );
+  const [firstWorkspace = '', secondWorkspace = ''] =
+    AUTHORITY_PROFILE.workspaces.map(workspace => workspace.name);
 
   beforeAll(async () => {
     await fleet.start();
@@ -110,9 +109,9 @@
   // Guards against a command that reports "nothing was changed" although a
   // change was made, and against one that hangs in an outage.
   it.each(['outage', 'lost-answers'])('ends under fault %s', async mode => {
-    await fleet.platformFault(mode);
+    await fleet.setPlatformFault(mode);
     const result = await runCommand('promote', 'other.ini', '--untried');
-    await fleet.platformFault('none');
+    await fleet.setPlatformFault('none');
     expect(result).toMatchSnapshot();
   });
 });
--- a/packages/launcher/src/__tests__/shares.test.ts
+++ b/packages/launcher/src/__tests__/shares.test.ts
@@ -3,7 +3,7 @@
 import {HttpTableService} from '@pistachiorill/store';
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {Fleet} from '../fleet.js';
-import {AUTHORITY} from '../profile.js';
+import {AUTHORITY_PROFILE} from '../profile.js';
 
 const BUILD_FOLDER = fileURLToPath(
   new URL('../../../../build', import.meta.url),
@@ -17,7 +17,7 @@
 
 describe('shares of VMs over separate processes', () => {
   const fleet = new Fleet(
-    {...AUTHORITY, vmCount: 4, databaseCount: 1},
+    {...AUTHORITY_PROFILE, vmCount: 4, databaseCount: 1},
     BUILD_FOLDER,
   );
   /** The sum of the shares in each row version that was sampled. */
@@ -75,9 +75,9 @@
     const out = await waitUntilHeld(c, 'not-held');
     await fleet.promote();
     const back = await waitUntilHeld(c, 'held');
-    await fleet.listVms(fleet.vms, [a]);
+    await fleet.publishVmList(fleet.vms, [a]);
     const leaving = await waitUntilHeld(a, 'not-held');
-    await fleet.listVms();
+    await fleet.publishVmList();
     const live = await waitUntilHeld(a, 'held');
     const end = await waitUntilEven([a, b, c]);
     expect({start, out, back, leaving, live, end}).toMatchSnapshot();
--- a/packages/launcher/src/__tests__/whole_path.test.ts
+++ b/packages/launcher/src/__tests__/whole_path.test.ts
@@ -4,14 +4,14 @@
 import {fileURLToPath} from 'node:url';
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {Fleet} from '../fleet.js';
-import {AUTHORITY} from '../profile.js';
+import {AUTHORITY_PROFILE} from '../profile.js';
 
 const BUILD_FOLDER = fileURLToPath(
   new URL('../../../../build', import.meta.url),
 );
 
 const fleet = new Fleet(
-  {...AUTHORITY, vmCount: 3, databaseCount: 1},
+  {...AUTHORITY_PROFILE, vmCount: 3, databaseCount: 1},
   BUILD_FOLDER,
 );
 
--- a/packages/launcher/src/__tests__/writers.ts
+++ b/packages/launcher/src/__tests__/writers.ts
@@ -2,7 +2,7 @@
 
 /** Writes numbered rows on each connection and records acknowledged ones. */
 export class Writers {
-  readonly acknowledged: Array<{id: number; begunAt: number; at: number}> = [];
+  readonly acknowledged: Array<{id: number; sentAt: number; at: number}> = [];
   failures = 0;
   /** Shared by all instances, as each id is written once in a test run. */
   private static nextId = 1;
@@ -29,7 +29,7 @@
       );
       if (done === 'failed') this.failures += 1;
       if (done === 'acknowledged') {
-        this.acknowledged.push({id, begunAt, at: Date.now()});
+        this.acknowledged.push({id, sentAt: begunAt, at: Date.now()});
       }
       await new Promise(resolve => setTimeout(resolve, 20));
     }
--- a/packages/launcher/src/child.ts
+++ b/packages/launcher/src/child.ts
@@ -5,7 +5,7 @@
 const MAX_OUTPUT_CHUNKS = 200;
 
 /** A Node.js process that runs a bundled program. */
-export class Child {
+export class ProgramProcess {
   private readonly output: string[] = [];
   private readonly exited: Promise<number | null>;
 
@@ -29,8 +29,8 @@
     program: string,
     args: readonly string[],
     readyText: string,
-  ): Promise<Child> {
-    const child = new Child(
+  ): Promise<ProgramProcess> {
+    const child = new ProgramProcess(
       name,
       spawn(process.execPath, [program, ...args], {
         stdio: ['ignore', 'pipe', 'pipe'],
