--- a/packages/launcher/src/fleet.ts
+++ b/packages/launcher/src/fleet.ts
@@ -4,7 +4,7 @@
 import {join} from 'node:path';
 import {performance} from 'node:perf_hooks';
 import {setTimeout as delay} from 'node:timers/promises';
-import {hashOf} from '@pistachiorill/core';
+import {documentHashOf} from '@pistachiorill/core';
 import type {MemberState} from '@pistachiorill/core';
 import {SqlGroupControl} from '@pistachiorill/mysql';
 import {
@@ -13,10 +13,10 @@
   NoVmReports,
   promoteDocument,
 } from '@pistachiorill/store';
-import {Child} from './child.js';
+import {ProgramProcess} from './child.js';
 import {findFreePorts} from './free_ports.js';
 import type {Profile} from './profile.js';
-import {databaseNames, memberName, writeDocument} from './write_document.js';
+import {databaseNames, memberName, renderDocument} from './write_document.js';
 import type {DocumentChanges} from './write_document.js';
 
 const PLATFORM_TIMEOUT_MS = 2_000;
@@ -35,22 +35,22 @@
   readonly httpPort: number;
   /** Port of the connections between VMs. */
   readonly peerPort: number;
-  readonly child: Child;
+  readonly child: ProgramProcess;
 }
 
 /** The processes of one profile: the platform, the groups and the entry VMs. */
 export class Fleet {
   /** Member processes, by name. */
-  readonly members = new Map<string, Child>();
+  readonly members = new Map<string, ProgramProcess>();
   /** Addresses of members, or of the links in front of them, by member. */
   readonly addresses = new Map<string, string>();
   /** The running VMs, sorted by name after `start`. */
   readonly vms: RunningVm[] = [];
-  private readonly linkProcesses: Child[] = [];
+  private readonly linkProcesses: ProgramProcess[] = [];
   private readonly linkFaultPorts = new Map<string, number>();
   private readonly memberArgs = new Map<string, readonly string[]>();
   private readonly folder = mkdtempSync(join(tmpdir(), 'pistachiorill-'));
-  private platform: Child | undefined;
+  private platform: ProgramProcess | undefined;
   platformUrl = '';
 
   /**
@@ -77,12 +77,12 @@
     await this.startMembers();
     await this.promote();
     await this.startVms();
-    if (this.vms.length > 0) await this.untilPrimaries();
+    if (this.vms.length > 0) await this.waitForPrimaries();
   }
 
   /** Renders the operators' document of this fleet with the given changes. */
   document(changes: DocumentChanges = {}): string {
-    return writeDocument(this.profile, this.addresses, changes);
+    return renderDocument(this.profile, this.addresses, changes);
   }
 
   /**
@@ -100,7 +100,7 @@
       body,
       {
         environment: 'production',
-        hash: hashOf(body),
+        hash: documentHashOf(body),
         operationId: randomUUID(),
         actor: 'launcher',
         basedOn: 'current',
@@ -174,7 +174,7 @@
    * Cuts the connections between a member and the given VMs, and restores those
    * of all other VMs. Requires `links`.
    */
-  async cut(member: string, vms: readonly string[]): Promise<void> {
+  async cutConnections(member: string, vms: readonly string[]): Promise<void> {
     const port = this.linkFaultPorts.get(member) ?? 0;
     await fetch(`http://127.0.0.1:${port}/faults`, {
       method: 'PUT',
@@ -222,13 +222,13 @@
   }
 
   /** Sets the fault mode of the platform, such as `outage`; `none` ends it. */
-  async platformFault(mode: string): Promise<void> {
+  async setPlatformFault(mode: string): Promise<void> {
     const body = JSON.stringify({mode});
     await fetch(`${this.platformUrl}/faults`, {method: 'POST', body});
   }
 
   /** Waits until each group has a primary whose term all members have. */
-  async untilPrimaries(): Promise<void> {
+  async waitForPrimaries(): Promise<void> {
     const until = Date.now() + PRIMARY_TIMEOUT_MS;
     for (const database of databaseNames(this.profile)) {
       while ((await this.primaryOf(database)) === undefined) {
@@ -284,13 +284,13 @@
         peerPort,
       };
     });
-    await this.listVms(vms);
+    await this.publishVmList(vms);
     await Promise.all(vms.map(vm => this.startVm(vm)));
     this.vms.sort((a, b) => (a.name < b.name ? -1 : 1));
   }
 
   /** Replaces the platform's VM list; VMs in `leaving` are listed as such. */
-  async listVms(
+  async publishVmList(
     vms: ReadonlyArray<Omit<RunningVm, 'child'>> = this.vms,
     leaving: readonly string[] = [],
   ): Promise<void> {
@@ -317,7 +317,12 @@
       '--settings',
       settings,
     ];
-    const child = await Child.start(vm.name, program, args, 'entry started');
+    const child = await ProgramProcess.start(
+      vm.name,
+      program,
+      args,
+      'entry started',
+    );
     this.vms.push({...vm, child});
     await waitUntilReady(vm.httpPort);
   }
@@ -351,9 +356,12 @@
     ].join('\n');
   }
 
-  private startStandin(name: string, args: readonly string[]): Promise<Child> {
+  private startStandin(
+    name: string,
+    args: readonly string[],
+  ): Promise<ProgramProcess> {
     const program = join(this.buildFolder, 'standins.mjs');
-    return Child.start(name, program, args, 'listens on');
+    return ProgramProcess.start(name, program, args, 'listens on');
   }
 }
 
--- a/packages/launcher/src/measure/forwarding.ts
+++ b/packages/launcher/src/measure/forwarding.ts
@@ -9,7 +9,7 @@
 import {createConnection} from 'mysql2/promise';
 import {Fleet} from '../fleet.js';
 import type {RunningVm} from '../fleet.js';
-import {AUTHORITY} from '../profile.js';
+import {AUTHORITY_PROFILE} from '../profile.js';
 
 const BUILD_FOLDER = fileURLToPath(new URL('.', import.meta.url));
 const ROUNDS = Number(process.argv[2] ?? 3);
@@ -43,7 +43,7 @@
 }
 
 function connect(vm: RunningVm, database: string) {
-  const [workspace] = AUTHORITY.workspaces;
+  const [workspace] = AUTHORITY_PROFILE.workspaces;
   return createConnection({
     host: '127.0.0.1',
     port: vm.clientPort,
@@ -87,9 +87,9 @@
 }
 
 async function createCases(mode: RoutingMode, fleet: Fleet): Promise<Case[]> {
-  const database = `${AUTHORITY.service}-1`;
+  const database = `${AUTHORITY_PROFILE.service}-1`;
   const owners = groupOwners(
-    {database, connectionLimit: AUTHORITY.connectionLimit},
+    {database, connectionLimit: AUTHORITY_PROFILE.connectionLimit},
     mode,
     fleet.vms.map(vm => ({vm: vm.name, dataCentre: vm.dataCentre})),
   );
@@ -120,11 +120,14 @@
   mode: RoutingMode,
   results: Map<string, Measurement[]>,
 ): Promise<void> {
-  const fleet = new Fleet(AUTHORITY, BUILD_FOLDER, mode);
+  const fleet = new Fleet(AUTHORITY_PROFILE, BUILD_FOLDER, mode);
   await fleet.start();
   try {
     const [first] = fleet.vms;
-    const setup = await connect(first as RunningVm, `${AUTHORITY.service}-1`);
+    const setup = await connect(
+      first as RunningVm,
+      `${AUTHORITY_PROFILE.service}-1`,
+    );
     await setup.query('CREATE TABLE batch (id INTEGER PRIMARY KEY, lot TEXT)');
     await setup.query("/*route='release'*/ INSERT INTO batch VALUES (0, 'A7')");
     await setup.end();
--- a/packages/launcher/src/profile.ts
+++ b/packages/launcher/src/profile.ts
@@ -45,7 +45,7 @@
 }
 
 /** The installation of the user `authority`. */
-export const AUTHORITY: Profile = {
+export const AUTHORITY_PROFILE: Profile = {
   name: 'authority',
   region: 'ga-central',
   dataCentres: ['macon-a', 'perry-b', 'warner-c'],
@@ -59,7 +59,7 @@
 };
 
 /** The installation of the user `leafmark`. */
-export const LEAFMARK: Profile = {
+export const LEAFMARK_PROFILE: Profile = {
   name: 'leafmark',
   region: 'tw-north',
   dataCentres: ['shilin', 'wanhua', 'neihu'],
--- a/packages/launcher/src/write_document.ts
+++ b/packages/launcher/src/write_document.ts
@@ -1,4 +1,4 @@
-import {verifierOf} from '@pistachiorill/mysql';
+import {computeVerifier} from '@pistachiorill/mysql';
 import type {Profile} from './profile.js';
 
 /** How a document differs from the one that its profile describes. */
@@ -28,7 +28,7 @@
  * Renders the operators' document of a profile: data centres, backend servers,
  * databases, keys, workspaces and routes.
  */
-export function writeDocument(
+export function renderDocument(
   profile: Profile,
   addresses: ServerAddresses,
   changes: DocumentChanges = {},
@@ -48,7 +48,7 @@
       .map(item =>
         section(`key ${item.name}-key`, {
           workspace: item.name,
-          verifier: verifierOf(item.key),
+          verifier: computeVerifier(item.key),
         }),
       ),
     ...profile.workspaces.map(item =>
--- a/packages/mysql/src/__tests__/backend_connection.test.ts
+++ b/packages/mysql/src/__tests__/backend_connection.test.ts
@@ -55,7 +55,7 @@
     expect({
       late: outcomeOf(late),
       next: outcomeOf(next),
-      usable: connection.usable,
+      usable: connection.isUsable,
     }).toMatchSnapshot();
   });
 
--- a/packages/mysql/src/__tests__/server_connection.test.ts
+++ b/packages/mysql/src/__tests__/server_connection.test.ts
@@ -112,7 +112,7 @@
   it('sends an error for a request that crosses with the close', () => {
     const {raw, connection} = open();
     raw.sendCredentials();
-    connection.closeWith({
+    connection.closeWithError({
       errno: 1040,
       sqlState: '08004',
       message: 'not run: draining',
--- a/packages/mysql/src/backend_connection.ts
+++ b/packages/mysql/src/backend_connection.ts
@@ -82,7 +82,7 @@
   }
 
   /** Whether the connection can run another statement. */
-  get usable(): boolean {
+  get isUsable(): boolean {
     return this.state === 'open';
   }
 
--- a/packages/mysql/src/index.ts
+++ b/packages/mysql/src/index.ts
@@ -4,7 +4,7 @@
 export {MYSQL_ERRNO} from './backend_error.js';
 export type {BackendError} from './backend_error.js';
 export {GroupControl} from './group_control.js';
-export {matchesVerifier, verifierOf} from './native_password.js';
+export {matchesVerifier, computeVerifier} from './native_password.js';
 export {MysqlServer} from './server.js';
 export {ServerConnection} from './server_connection.js';
 export type {
--- a/packages/mysql/src/native_password.ts
+++ b/packages/mysql/src/native_password.ts
@@ -3,7 +3,7 @@
 const SHA1_BYTES = 20;
 
 /** Computes the verifier that a document stores for a key: SHA1(SHA1(key)). */
-export function verifierOf(key: string): string {
+export function computeVerifier(key: string): string {
   return sha1(sha1(Buffer.from(key))).toString('hex');
 }
 
--- a/packages/mysql/src/server_connection.ts
+++ b/packages/mysql/src/server_connection.ts
@@ -176,7 +176,7 @@
    * the error serves as its response. Such a request is never passed to
    * `onQuery`, so an error that states "not run" is correct for it.
    */
-  closeWith(err: ClientError): void {
+  closeWithError(err: ClientError): void {
     if (this.state === 'closed') return;
     this.raw.sequenceId = FIRST_REPLY_SEQUENCE_ID;
     this.sendError(err);
--- a/packages/mysql/src/sql_group_control.ts
+++ b/packages/mysql/src/sql_group_control.ts
@@ -51,7 +51,7 @@
   }
 
   private async call(sql: string): Promise<Result<MemberState, BackendError>> {
-    if (!this.connection?.usable) {
+    if (!this.connection?.isUsable) {
       const opened = await BackendConnection.open(
         this.address,
         this.credentials,
--- a/packages/peers/src/__tests__/peer_client.test.ts
+++ b/packages/peers/src/__tests__/peer_client.test.ts
@@ -4,7 +4,7 @@
 import {PeerClient} from '../peer_client.js';
 import {PeerHandlers} from '../peer_handlers.js';
 import {PeerServer} from '../peer_server.js';
-import {servedPeers} from '../served_peers.js';
+import {servedPeerRouter} from '../served_peers.js';
 
 class FakeHandlers extends PeerHandlers {
   override probe = async (gossip: Parameters<PeerHandlers['probe']>[0]) =>
@@ -71,7 +71,7 @@
   it('distinguishes requests that were not sent from unanswered ones', async () => {
     const port = await closedPort();
     const faults: unknown[] = [];
-    const server = new PeerServer(servedPeers(new FakeHandlers()), e =>
+    const server = new PeerServer(servedPeerRouter(new FakeHandlers()), e =>
       faults.push(e),
     );
     await server.listen(`127.0.0.1:${port}`);
--- a/packages/peers/src/http_call.ts
+++ b/packages/peers/src/http_call.ts
@@ -15,7 +15,7 @@
 }
 
 /** The parameters of one HTTP request. */
-export interface HttpCall {
+export interface HttpRequest {
   readonly method?: 'GET' | 'POST';
   readonly headers?: Readonly<Record<string, string>>;
   readonly agent: Agent;
@@ -28,14 +28,14 @@
 }
 
 /** The status and the whole body of a response. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: string;
 }
 
 /** Sends a request and returns the response body, whatever its status. */
-export async function httpCall(call: HttpCall): Promise<string> {
-  return (await httpExchange(call)).body;
+export async function postRequest(call: HttpRequest): Promise<string> {
+  return (await sendHttpRequest(call)).body;
 }
 
 /**
@@ -43,7 +43,7 @@
  * built-in `fetch` is not used, as its errors do not show whether the request
  * was sent.
  */
-export function httpExchange(call: HttpCall): Promise<HttpAnswer> {
+export function sendHttpRequest(call: HttpRequest): Promise<HttpResponse> {
   return new Promise((resolve, reject) => {
     let connection: 'opening' | 'open' = 'opening';
     const req = request({
--- a/packages/peers/src/peer_client.ts
+++ b/packages/peers/src/peer_client.ts
@@ -9,23 +9,26 @@
 import type {PeerRouter} from './peer_router.js';
 import type {Announcement} from './procedures/announce_schema.js';
 import type {
-  ConfigurationAnswer,
+  ConfigurationResponse,
   ConfigurationRequest,
 } from './procedures/configuration_schema.js';
 import type {
-  ForwardAnswer,
+  ForwardResponse,
   ForwardRequest,
 } from './procedures/forward_schema.js';
-import type {LedgerAnswer, LedgerRequest} from './procedures/ledger_schema.js';
-import type {LoanAnswer, LoanRequest} from './procedures/loan_schema.js';
 import type {
-  ProbeIndirectAnswer,
+  LedgerResponse,
+  LedgerRequest,
+} from './procedures/ledger_schema.js';
+import type {LoanResponse, LoanRequest} from './procedures/loan_schema.js';
+import type {
+  ProbeIndirectResponse,
   ProbeIndirectRequest,
 } from './procedures/probe_indirect_schema.js';
 import type {Gossip} from './procedures/probe_schema.js';
-import type {StatusAnswer} from './procedures/status_schema.js';
+import type {StatusResponse} from './procedures/status_schema.js';
 import type {
-  BeginAnswer,
+  BeginResponse,
   BeginRequest,
   CommitRequest,
   ExecuteInRequest,
@@ -60,14 +63,14 @@
   probeIndirect(
     req: ProbeIndirectRequest,
     options: CallOptions,
-  ): PeerResult<ProbeIndirectAnswer> {
+  ): PeerResult<ProbeIndirectResponse> {
     return call(options, o => this.client.probeIndirect.mutate(req, o));
   }
 
   configuration(
     req: ConfigurationRequest,
     options: CallOptions,
-  ): PeerResult<ConfigurationAnswer> {
+  ): PeerResult<ConfigurationResponse> {
     return call(options, o => this.client.configuration.mutate(req, o));
   }
 
@@ -75,11 +78,11 @@
     return call(options, o => this.client.announce.mutate(announcement, o));
   }
 
-  ledger(req: LedgerRequest, options: CallOptions): PeerResult<LedgerAnswer> {
+  ledger(req: LedgerRequest, options: CallOptions): PeerResult<LedgerResponse> {
     return call(options, o => this.client.ledger.mutate(req, o));
   }
 
-  loan(req: LoanRequest, options: CallOptions): PeerResult<LoanAnswer> {
+  loan(req: LoanRequest, options: CallOptions): PeerResult<LoanResponse> {
     return call(options, o => this.client.loan.mutate(req, o));
   }
 
@@ -90,22 +93,25 @@
   forward(
     req: ForwardRequest,
     options: CallOptions,
-  ): PeerResult<ForwardAnswer> {
+  ): PeerResult<ForwardResponse> {
     return call(options, o => this.client.forward.mutate(req, o));
   }
 
-  begin(req: BeginRequest, options: CallOptions): PeerResult<BeginAnswer> {
+  begin(req: BeginRequest, options: CallOptions): PeerResult<BeginResponse> {
     return call(options, o => this.client.begin.mutate(req, o));
   }
 
   executeIn(
     req: ExecuteInRequest,
     options: CallOptions,
-  ): PeerResult<ForwardAnswer> {
+  ): PeerResult<ForwardResponse> {
     return call(options, o => this.client.executeIn.mutate(req, o));
   }
 
-  commit(req: CommitRequest, options: CallOptions): PeerResult<ForwardAnswer> {
+  commit(
+    req: CommitRequest,
+    options: CallOptions,
+  ): PeerResult<ForwardResponse> {
     return call(options, o => this.client.commit.mutate(req, o));
   }
 
@@ -117,7 +123,7 @@
     return call(options, o => this.client.keepAlive.mutate(req, o));
   }
 
-  status(options: CallOptions): PeerResult<StatusAnswer> {
+  status(options: CallOptions): PeerResult<StatusResponse> {
     return call(options, o => this.client.status.mutate(undefined, o));
   }
 
--- a/packages/peers/src/peer_handlers.ts
+++ b/packages/peers/src/peer_handlers.ts
@@ -1,23 +1,26 @@
 import type {FailoverReport} from '@pistachiorill/core';
 import type {Announcement} from './procedures/announce_schema.js';
 import type {
-  ConfigurationAnswer,
+  ConfigurationResponse,
   ConfigurationRequest,
 } from './procedures/configuration_schema.js';
 import type {
-  ForwardAnswer,
+  ForwardResponse,
   ForwardRequest,
 } from './procedures/forward_schema.js';
-import type {LedgerAnswer, LedgerRequest} from './procedures/ledger_schema.js';
-import type {LoanAnswer, LoanRequest} from './procedures/loan_schema.js';
 import type {
-  ProbeIndirectAnswer,
+  LedgerResponse,
+  LedgerRequest,
+} from './procedures/ledger_schema.js';
+import type {LoanResponse, LoanRequest} from './procedures/loan_schema.js';
+import type {
+  ProbeIndirectResponse,
   ProbeIndirectRequest,
 } from './procedures/probe_indirect_schema.js';
 import type {Gossip} from './procedures/probe_schema.js';
-import type {StatusAnswer} from './procedures/status_schema.js';
+import type {StatusResponse} from './procedures/status_schema.js';
 import type {
-  BeginAnswer,
+  BeginResponse,
   BeginRequest,
   CommitRequest,
   ExecuteInRequest,
@@ -33,19 +36,19 @@
   abstract probe(gossip: Gossip): Promise<Gossip>;
   abstract probeIndirect(
     req: ProbeIndirectRequest,
-  ): Promise<ProbeIndirectAnswer>;
+  ): Promise<ProbeIndirectResponse>;
   abstract configuration(
     req: ConfigurationRequest,
-  ): Promise<ConfigurationAnswer>;
+  ): Promise<ConfigurationResponse>;
   abstract announce(announcement: Announcement): Promise<void>;
-  abstract ledger(req: LedgerRequest): Promise<LedgerAnswer>;
-  abstract loan(req: LoanRequest): Promise<LoanAnswer>;
+  abstract ledger(req: LedgerRequest): Promise<LedgerResponse>;
+  abstract loan(req: LoanRequest): Promise<LoanResponse>;
   abstract report(report: FailoverReport): Promise<void>;
-  abstract forward(req: ForwardRequest): Promise<ForwardAnswer>;
-  abstract begin(req: BeginRequest): Promise<BeginAnswer>;
-  abstract executeIn(req: ExecuteInRequest): Promise<ForwardAnswer>;
-  abstract commit(req: CommitRequest): Promise<ForwardAnswer>;
+  abstract forward(req: ForwardRequest): Promise<ForwardResponse>;
+  abstract begin(req: BeginRequest): Promise<BeginResponse>;
+  abstract executeIn(req: ExecuteInRequest): Promise<ForwardResponse>;
+  abstract commit(req: CommitRequest): Promise<ForwardResponse>;
   abstract rollback(req: RollbackRequest): Promise<void>;
   abstract keepAlive(req: KeepAliveRequest): Promise<void>;
-  abstract status(): Promise<StatusAnswer>;
+  abstract status(): Promise<StatusResponse>;
 }
--- a/packages/peers/src/peer_link.ts
+++ b/packages/peers/src/peer_link.ts
@@ -4,7 +4,7 @@
 import type {AnyRouter} from '@trpc/server';
 import {observable} from '@trpc/server/observable';
 import type {TRPCResultMessage} from '@trpc/server/rpc';
-import {httpCall} from './http_call.js';
+import {postRequest} from './http_call.js';
 
 type ResponseBody =
   | {readonly result: TRPCResultMessage<unknown>['result']}
@@ -25,7 +25,7 @@
   return () =>
     ({op}) =>
       observable(observer => {
-        httpCall({
+        postRequest({
           agent,
           host,
           port,
--- a/packages/peers/src/procedures/announce.ts
+++ b/packages/peers/src/procedures/announce.ts
@@ -1,4 +1,4 @@
-import {ANNOUNCE_SCHEMA} from './announce_schema.js';
+import {ANNOUNCEMENT_SCHEMA} from './announce_schema.js';
 import {t} from './procedure.js';
 
 /**
@@ -6,5 +6,5 @@
  * the store.
  */
 export const announce = t.procedure
-  .input(ANNOUNCE_SCHEMA)
+  .input(ANNOUNCEMENT_SCHEMA)
   .mutation(({ctx, input}) => ctx.handlers.announce(input));
--- a/packages/peers/src/procedures/announce_schema.ts
+++ b/packages/peers/src/procedures/announce_schema.ts
@@ -2,7 +2,7 @@
 import {z} from 'zod';
 
 /** A configuration version in force, with the body of its document. */
-export const ANNOUNCE_SCHEMA = z.object({
+export const ANNOUNCEMENT_SCHEMA = z.object({
   /** VMs of other environments ignore the announcement. */
   environment: z.enum(ENVIRONMENTS),
   version: z.number().int().positive(),
@@ -10,4 +10,4 @@
   body: z.string(),
 });
 
-export type Announcement = z.infer<typeof ANNOUNCE_SCHEMA>;
+export type Announcement = z.infer<typeof ANNOUNCEMENT_SCHEMA>;
--- a/packages/peers/src/procedures/configuration_schema.ts
+++ b/packages/peers/src/procedures/configuration_schema.ts
@@ -6,7 +6,7 @@
 export type ConfigurationRequest = z.infer<typeof CONFIGURATION_SCHEMA>;
 
 /** The requested document, if the receiving VM has it. */
-export type ConfigurationAnswer =
+export type ConfigurationResponse =
   | {
       readonly kind: 'found';
       readonly version: number;
--- a/packages/peers/src/procedures/forward_schema.ts
+++ b/packages/peers/src/procedures/forward_schema.ts
@@ -115,6 +115,6 @@
 export type WireReply = z.infer<typeof WIRE_REPLY_SCHEMA>;
 
 /** The response of a group's owner to a forwarded statement. */
-export type ForwardAnswer =
+export type ForwardResponse =
   | {readonly ok: true; readonly value: WireReply}
   | {readonly ok: false; readonly err: Refusal};
--- a/packages/peers/src/procedures/ledger_schema.ts
+++ b/packages/peers/src/procedures/ledger_schema.ts
@@ -10,7 +10,7 @@
 export type LedgerRequest = z.infer<typeof LEDGER_SCHEMA>;
 
 /** The ledger row, if the receiving VM has a version that is new enough. */
-export type LedgerAnswer =
+export type LedgerResponse =
   | {
       readonly kind: 'found';
       readonly version: number;
--- a/packages/peers/src/procedures/loan_schema.ts
+++ b/packages/peers/src/procedures/loan_schema.ts
@@ -13,6 +13,6 @@
 }) as z.ZodType<LoanRequest>;
 
 /** The lender's response. All amounts are 0 if it lends nothing. */
-export type LoanAnswer = LoanGrant;
+export type LoanResponse = LoanGrant;
 
 export type {LoanRequest};
--- a/packages/peers/src/procedures/probe_indirect_schema.ts
+++ b/packages/peers/src/procedures/probe_indirect_schema.ts
@@ -7,4 +7,4 @@
 export type ProbeIndirectRequest = z.infer<typeof PROBE_INDIRECT_SCHEMA>;
 
 /** Whether the target responded to the receiving VM's probe. */
-export type ProbeIndirectAnswer = 'reached' | 'not-reached';
+export type ProbeIndirectResponse = 'reached' | 'not-reached';
--- a/packages/peers/src/procedures/status_schema.ts
+++ b/packages/peers/src/procedures/status_schema.ts
@@ -1,7 +1,7 @@
 import type {PeerRecord, PeerState, VersionReport} from '@pistachiorill/core';
 
 /** The state that a VM returns to the operators' program. */
-export interface StatusAnswer {
+export interface StatusResponse {
   readonly peer: PeerRecord;
   readonly versions: VersionReport;
   readonly confirmation: 'confirmed' | 'unconfirmed';
--- a/packages/peers/src/procedures/transaction_schema.ts
+++ b/packages/peers/src/procedures/transaction_schema.ts
@@ -8,7 +8,7 @@
 export type BeginRequest = z.infer<typeof BEGIN_SCHEMA>;
 
 /** The id of the opened transaction, or why none was opened. */
-export type BeginAnswer =
+export type BeginResponse =
   | {readonly ok: true; readonly transaction: string}
   | {readonly ok: false; readonly err: Refusal};
 
--- a/packages/peers/src/served_peers.ts
+++ b/packages/peers/src/served_peers.ts
@@ -3,6 +3,6 @@
 import {PEER_ROUTER} from './peer_router.js';
 
 /** Binds the procedures of an entry VM to the handlers that implement them. */
-export function servedPeers(handlers: PeerHandlers): ServedRouter {
+export function servedPeerRouter(handlers: PeerHandlers): ServedRouter {
   return {router: PEER_ROUTER, context: {handlers}};
 }
--- a/packages/standins/src/member/member_faults.ts
+++ b/packages/standins/src/member/member_faults.ts
@@ -28,7 +28,7 @@
   }
 
   /** Resolves when the member is not frozen, immediately if it already runs. */
-  async untilRunning(): Promise<void> {
+  async waitUntilRunning(): Promise<void> {
     while (this.current.activity === 'frozen') {
       await new Promise<void>(resolve => this.waiting.push(resolve));
     }
--- a/packages/standins/src/member/member_journal.ts
+++ b/packages/standins/src/member/member_journal.ts
@@ -11,7 +11,7 @@
 import type {LogEntry} from './log_entry.js';
 
 /** The persistent state of a member other than its log. */
-export interface MemberStanding {
+export interface MemberStatus {
   readonly role: MemberRole;
   readonly term: number;
   /** The member refuses every lower term. */
@@ -23,7 +23,7 @@
 }
 
 /** The state of a member that was never fenced or promoted. */
-export const NEW_STANDING: MemberStanding = {
+export const INITIAL_STATUS: MemberStatus = {
   role: 'replica',
   term: 0,
   fencedTerm: 0,
@@ -36,18 +36,18 @@
  * a fence only after it is in the journal, since failover relies on both.
  */
 export abstract class MemberJournal {
-  abstract load(): {entries: LogEntry[]; status: MemberStanding};
+  abstract load(): {entries: LogEntry[]; status: MemberStatus};
   /** Adds entries at the end of the stored log. */
   abstract append(entries: readonly LogEntry[]): void;
   /** Replaces the whole stored log. */
   abstract replace(entries: readonly LogEntry[]): void;
-  abstract save(status: MemberStanding): void;
+  abstract save(status: MemberStatus): void;
 }
 
 /** Stores nothing; for members that are never restarted. */
 export class VolatileJournal extends MemberJournal {
-  override load(): {entries: LogEntry[]; status: MemberStanding} {
-    return {entries: [], status: NEW_STANDING};
+  override load(): {entries: LogEntry[]; status: MemberStatus} {
+    return {entries: [], status: INITIAL_STATUS};
   }
 
   override append(): void {}
@@ -56,7 +56,7 @@
 }
 
 /** Stores the log in one file of a folder and the other state in a second. */
-export class FolderJournal extends MemberJournal {
+export class FileJournal extends MemberJournal {
   private readonly logFile: string;
   private readonly statusFile: string;
 
@@ -67,7 +67,7 @@
     this.statusFile = join(folder, 'standing.json');
   }
 
-  override load(): {entries: LogEntry[]; status: MemberStanding} {
+  override load(): {entries: LogEntry[]; status: MemberStatus} {
     // A kill can truncate the last line. Its entry was not reported yet, so it
     // is dropped.
     const lines = readIfPresent(this.logFile).split('\n').slice(0, -1);
@@ -77,7 +77,7 @@
     return {
       entries,
       status:
-        status === '' ? NEW_STANDING : (JSON.parse(status) as MemberStanding),
+        status === '' ? INITIAL_STATUS : (JSON.parse(status) as MemberStatus),
     };
   }
 
@@ -89,7 +89,7 @@
     writeAtomically(this.logFile, encode(entries));
   }
 
-  override save(status: MemberStanding): void {
+  override save(status: MemberStatus): void {
     writeAtomically(this.statusFile, JSON.stringify(status));
   }
 }
--- a/packages/standins/src/member/member_server.ts
+++ b/packages/standins/src/member/member_server.ts
@@ -8,7 +8,7 @@
   ServerConnection,
   splitAddress,
   matchesVerifier,
-  verifierOf,
+  computeVerifier,
 } from '@pistachiorill/mysql';
 import type {
   ClientError,
@@ -20,7 +20,7 @@
 import {runControlStatement} from './control_statement.js';
 import type {MemberConfig} from './member_config.js';
 import {MemberFaults} from './member_faults.js';
-import {FolderJournal, VolatileJournal} from './member_journal.js';
+import {FileJournal, VolatileJournal} from './member_journal.js';
 import {mysqlErrorOf} from './member_error.js';
 import type {MemberError} from './member_error.js';
 import {MemberTask} from './member_task.js';
@@ -61,7 +61,7 @@
       storage,
       cfg.dataFolder === undefined
         ? new VolatileJournal()
-        : new FolderJournal(cfg.dataFolder),
+        : new FileJournal(cfg.dataFolder),
       this.faults,
       change => this.replication.change(change),
     );
@@ -129,7 +129,7 @@
     this.open.add(connection);
     setTimeout(() => {
       void this.faults
-        .untilRunning()
+        .waitUntilRunning()
         .then(() => connection.handshake('8.0.0-standin'));
     }, this.cfg.connectDelayMs);
   }
@@ -141,7 +141,7 @@
       ['control', cfg.controlUser, cfg.controlPassword],
     ];
     for (const [role, user, password] of passwords) {
-      const verifier = verifierOf(password);
+      const verifier = computeVerifier(password);
       if (
         req.user === user &&
         matchesVerifier(req.answer, req.challenge, verifier)
@@ -157,7 +157,7 @@
     session: number,
     sql: string,
   ): Promise<Result<StatementResult, MemberError>> {
-    await this.faults.untilRunning();
+    await this.faults.waitUntilRunning();
     if (role === 'control') {
       return runControlStatement(sql, message => this.task.tell(message));
     }
--- a/packages/standins/src/member/replication_task.ts
+++ b/packages/standins/src/member/replication_task.ts
@@ -102,7 +102,9 @@
       const waited = await Promise.race([lag, interrupted]);
       if (waited === 'failed') return 'failed';
     }
-    const running = this.faults.untilRunning().then(() => 'running' as const);
+    const running = this.faults
+      .waitUntilRunning()
+      .then(() => 'running' as const);
     const state = await Promise.race([running, interrupted]);
     if (state === 'failed') return 'failed';
     this.end = await this.deliver(log.value);
@@ -111,7 +113,7 @@
 
   private async fetch(): Promise<Result<LogReply, BackendError>> {
     const {generation} = this;
-    if (!this.connection?.usable) {
+    if (!this.connection?.isUsable) {
       const opened = await BackendConnection.open(
         this.primary,
         this.credentials,
--- a/packages/standins/src/platform/__tests__/platform_contract.test.ts
+++ b/packages/standins/src/platform/__tests__/platform_contract.test.ts
@@ -7,9 +7,14 @@
 import type {PlatformEndpoint} from '@pistachiorill/store';
 import type {Result} from '@pistachiorill/core';
 import {PlatformServer} from '../platform_server.js';
-import type {FaultMode} from '../platform_state.js';
+import type {PlatformFaultMode} from '../platform_state.js';
 
-const FAULTS: readonly FaultMode[] = ['none', 'outage', 'lost-answers', 'slow'];
+const FAULTS: readonly PlatformFaultMode[] = [
+  'none',
+  'outage',
+  'lost-answers',
+  'slow',
+];
 
 describe('platform contract', () => {
   let platform: PlatformServer;
@@ -24,7 +29,7 @@
   });
   afterAll(() => platform.close());
 
-  async function setFault(mode: FaultMode): Promise<void> {
+  async function setFault(mode: PlatformFaultMode): Promise<void> {
     await fetch(`${endpoint.baseUrl}/faults`, {
       method: 'POST',
       body: JSON.stringify({mode, slowMs: 1_000}),
--- a/packages/standins/src/platform/handle_request.ts
+++ b/packages/standins/src/platform/handle_request.ts
@@ -1,5 +1,5 @@
 import type {ListedVm} from '@pistachiorill/store';
-import type {FaultMode, PlatformState} from './platform_state.js';
+import type {PlatformFaultMode, PlatformState} from './platform_state.js';
 
 /** The parts of an HTTP request that the platform evaluates. */
 export interface PlatformRequest {
@@ -11,7 +11,7 @@
 }
 
 /** The status code and body of an HTTP response. */
-export interface PlatformAnswer {
+export interface PlatformResponse {
   readonly status: number;
   readonly body: string;
 }
@@ -23,7 +23,7 @@
 export function handleRequest(
   req: PlatformRequest,
   state: PlatformState,
-): PlatformAnswer {
+): PlatformResponse {
   const [, area, name] = req.url.pathname.split('/');
   const key = decodeURIComponent(name ?? '');
   switch (`${req.method} ${area}`) {
@@ -52,14 +52,14 @@
   }
 }
 
-function listRows(state: PlatformState, prefix: string): PlatformAnswer {
+function listRows(state: PlatformState, prefix: string): PlatformResponse {
   const rows = [...state.rows.values()]
     .filter(row => row.key.startsWith(prefix))
     .sort((a, b) => (a.key < b.key ? -1 : 1));
   return json(rows);
 }
 
-function listObjects(state: PlatformState, prefix: string): PlatformAnswer {
+function listObjects(state: PlatformState, prefix: string): PlatformResponse {
   return json(
     [...state.objects.keys()].filter(name => name.startsWith(prefix)).sort(),
   );
@@ -69,7 +69,7 @@
   state: PlatformState,
   key: string,
   req: PlatformRequest,
-): PlatformAnswer {
+): PlatformResponse {
   const current = state.rows.get(key);
   if ((current?.version ?? 0) !== Number(req.ifMatch)) {
     return {status: 412, body: current ? JSON.stringify(current) : ''};
@@ -79,20 +79,20 @@
   return json(row);
 }
 
-function setFault(state: PlatformState, body: string): PlatformAnswer {
-  const req = JSON.parse(body) as {mode: FaultMode; slowMs?: number};
+function setFault(state: PlatformState, body: string): PlatformResponse {
+  const req = JSON.parse(body) as {mode: PlatformFaultMode; slowMs?: number};
   state.fault = req.mode;
   state.slowMs = req.slowMs ?? state.slowMs;
   return {status: 200, body: ''};
 }
 
-function json(value: unknown): PlatformAnswer {
+function json(value: unknown): PlatformResponse {
   return value === undefined
     ? {status: 404, body: ''}
     : {status: 200, body: JSON.stringify(value)};
 }
 
-function text(value: string | undefined): PlatformAnswer {
+function text(value: string | undefined): PlatformResponse {
   return value === undefined
     ? {status: 404, body: ''}
     : {status: 200, body: value};
--- a/packages/standins/src/platform/platform_state.ts
+++ b/packages/standins/src/platform/platform_state.ts
@@ -1,7 +1,7 @@
 import type {ListedVm, Row} from '@pistachiorill/store';
 
 /** How the stand-in platform responds to requests. */
-export type FaultMode =
+export type PlatformFaultMode =
   /** Responds without delay. */
   | 'none'
   /** Responds with status 503 and executes nothing. */
@@ -19,7 +19,7 @@
   readonly objects: Map<string, string>;
   /** The list of VMs that the platform publishes. */
   vms: readonly ListedVm[];
-  fault: FaultMode;
+  fault: PlatformFaultMode;
   slowMs: number;
 }
 
--- a/packages/store/src/http_call.ts
+++ b/packages/store/src/http_call.ts
@@ -3,7 +3,7 @@
 import type {PlatformError} from './platform_error.js';
 
 /** A response with a status below 500. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: string;
 }
@@ -24,11 +24,11 @@
  * `unknown-outcome`, because it may have taken effect, unless the connection
  * was refused.
  */
-export async function httpCall(
+export async function sendHttpRequest(
   endpoint: PlatformEndpoint,
   path: string,
   init: RequestInit = {},
-): Promise<Result<HttpAnswer, PlatformError>> {
+): Promise<Result<HttpResponse, PlatformError>> {
   try {
     const res = await fetch(`${endpoint.baseUrl}${path}`, {
       ...init,
--- a/packages/store/src/http_object_store.ts
+++ b/packages/store/src/http_object_store.ts
@@ -1,6 +1,6 @@
 import {ok} from '@pistachiorill/core';
 import type {Result} from '@pistachiorill/core';
-import {httpCall} from './http_call.js';
+import {sendHttpRequest} from './http_call.js';
 import type {PlatformEndpoint} from './http_call.js';
 import {ObjectStore} from './object_store.js';
 import {NAMES_SCHEMA} from './platform_api.js';
@@ -18,7 +18,7 @@
     name: string,
     body: string,
   ): Promise<Result<void, PlatformError>> {
-    const res = await httpCall(this.endpoint, objectPath(name), {
+    const res = await sendHttpRequest(this.endpoint, objectPath(name), {
       method: 'PUT',
       body,
     });
@@ -28,7 +28,7 @@
   override async get(
     name: string,
   ): Promise<Result<string | undefined, PlatformError>> {
-    const res = await httpCall(this.endpoint, objectPath(name));
+    const res = await sendHttpRequest(this.endpoint, objectPath(name));
     if (!res.ok) return res;
     return ok(res.value.status === NOT_FOUND ? undefined : res.value.body);
   }
@@ -37,7 +37,7 @@
     prefix: string,
   ): Promise<Result<readonly string[], PlatformError>> {
     const query = new URLSearchParams({prefix});
-    const res = await httpCall(this.endpoint, `/objects?${query}`);
+    const res = await sendHttpRequest(this.endpoint, `/objects?${query}`);
     if (!res.ok) return res;
     return ok(NAMES_SCHEMA.parse(JSON.parse(res.value.body)));
   }
--- a/packages/store/src/http_table_service.ts
+++ b/packages/store/src/http_table_service.ts
@@ -1,6 +1,6 @@
 import {fail, ok} from '@pistachiorill/core';
 import type {Result} from '@pistachiorill/core';
-import {httpCall} from './http_call.js';
+import {sendHttpRequest} from './http_call.js';
 import type {PlatformEndpoint} from './http_call.js';
 import {ROWS_SCHEMA, ROW_SCHEMA} from './platform_api.js';
 import type {PlatformError} from './platform_error.js';
@@ -22,7 +22,7 @@
   override async read(
     key: string,
   ): Promise<Result<Row | undefined, PlatformError>> {
-    const res = await httpCall(this.endpoint, rowPath(key));
+    const res = await sendHttpRequest(this.endpoint, rowPath(key));
     if (!res.ok) return res;
     if (res.value.status === NOT_FOUND) return ok(undefined);
     return ok(ROW_SCHEMA.parse(JSON.parse(res.value.body)));
@@ -33,7 +33,7 @@
     value: string,
     expected: number,
   ): Promise<Result<Row, PlatformError>> {
-    const res = await httpCall(this.endpoint, rowPath(key), {
+    const res = await sendHttpRequest(this.endpoint, rowPath(key), {
       method: 'PUT',
       headers: {'if-match': String(expected)},
       body: value,
@@ -53,7 +53,7 @@
     prefix: string,
   ): Promise<Result<readonly Row[], PlatformError>> {
     const query = new URLSearchParams({prefix});
-    const res = await httpCall(this.endpoint, `/table?${query}`);
+    const res = await sendHttpRequest(this.endpoint, `/table?${query}`);
     if (!res.ok) return res;
     return ok(ROWS_SCHEMA.parse(JSON.parse(res.value.body)));
   }
--- a/packages/store/src/http_vm_list.ts
+++ b/packages/store/src/http_vm_list.ts
@@ -1,6 +1,6 @@
 import {ok} from '@pistachiorill/core';
 import type {Result} from '@pistachiorill/core';
-import {httpCall} from './http_call.js';
+import {sendHttpRequest} from './http_call.js';
 import type {PlatformEndpoint} from './http_call.js';
 import {LISTED_VMS_SCHEMA} from './platform_api.js';
 import type {PlatformError} from './platform_error.js';
@@ -14,7 +14,7 @@
   }
 
   override async read(): Promise<Result<readonly ListedVm[], PlatformError>> {
-    const res = await httpCall(this.endpoint, '/vms');
+    const res = await sendHttpRequest(this.endpoint, '/vms');
     if (!res.ok) return res;
     return ok(LISTED_VMS_SCHEMA.parse(JSON.parse(res.value.body)));
   }
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -8,14 +8,14 @@
 export {HttpVmReports} from './promotion/http_vm_reports.js';
 export {NoVmReports} from './promotion/no_vm_reports.js';
 export {promoteDocument} from './promotion/promote_document.js';
-export type {PromotionTools} from './promotion/promote_document.js';
+export type {PromotionDependencies} from './promotion/promote_document.js';
 export {VmReports} from './promotion/vm_reports.js';
 export {TableService} from './table_service.js';
 export type {Row} from './table_service.js';
 export {VmList} from './vm_list.js';
 export type {ListedVm, ListedVmState} from './vm_list.js';
 export {readVmStatuses} from './read_vm_statuses.js';
-export type {VmStatusAnswer} from './read_vm_statuses.js';
+export type {VmStatusResult} from './read_vm_statuses.js';
 export type {GroupStatus, MemberStatus, VmStatus} from './vm_status.js';
 export {TransactionalStore} from './transactional_store.js';
 export type {
@@ -23,7 +23,7 @@
   StoreReadError,
   StoreTiming,
   StoreWriteError,
-  TableAnswer,
+  TableReadResult,
   TableRow,
-  TransactionAnswer,
+  TransactionResult,
 } from './transactional_store.js';
--- a/packages/store/src/promotion/http_vm_reports.ts
+++ b/packages/store/src/promotion/http_vm_reports.ts
@@ -1,6 +1,6 @@
 import type {Environment, VmReport} from '@pistachiorill/core';
 import {readVmStatuses} from '../read_vm_statuses.js';
-import type {VmStatusAnswer} from '../read_vm_statuses.js';
+import type {VmStatusResult} from '../read_vm_statuses.js';
 import type {VmList} from '../vm_list.js';
 import {VmReports} from './vm_reports.js';
 
@@ -30,9 +30,9 @@
   }
 }
 
-function toReport(answer: VmStatusAnswer): VmReport {
+function toReport(answer: VmStatusResult): VmReport {
   const {vm, dataCentre, state} = answer.listed;
-  const common = {vm, dataCentre, listed: state};
+  const common = {vm, dataCentre, platformState: state};
   return answer.kind === 'status'
     ? {...common, kind: 'applied', version: answer.status.version}
     : {...common, kind: 'unreachable', detail: answer.detail};
--- a/packages/store/src/promotion/promote_document.ts
+++ b/packages/store/src/promotion/promote_document.ts
@@ -20,7 +20,7 @@
 import type {VmReports} from './vm_reports.js';
 
 /** The collaborators of a promotion. */
-export interface PromotionTools {
+export interface PromotionDependencies {
   readonly table: TableService;
   readonly objects: ObjectStore;
   readonly vms: VmReports;
@@ -32,7 +32,7 @@
 export async function promoteDocument(
   body: string,
   req: PromotionRequest,
-  deps: PromotionTools,
+  deps: PromotionDependencies,
 ): Promise<PromotionOutcome> {
   let progress = startPromotion(req);
   for (;;) {
@@ -49,7 +49,7 @@
   version: number,
   body: string,
   req: PromotionRequest,
-  {table, objects, vms}: PromotionTools,
+  {table, objects, vms}: PromotionDependencies,
 ): Promise<PromotionEvent> {
   const key = configurationKey(req.environment);
   switch (step.kind) {
--- a/packages/store/src/read_vm_statuses.ts
+++ b/packages/store/src/read_vm_statuses.ts
@@ -1,10 +1,10 @@
-import {httpCall} from './http_call.js';
+import {sendHttpRequest} from './http_call.js';
 import type {ListedVm, VmList} from './vm_list.js';
 import {VM_STATUS_SCHEMA} from './vm_status.js';
 import type {VmStatus} from './vm_status.js';
 
 /** The result of a status request to one listed VM. */
-export type VmStatusAnswer = {readonly listed: ListedVm} & (
+export type VmStatusResult = {readonly listed: ListedVm} & (
   | {readonly kind: 'status'; readonly status: VmStatus}
   | {readonly kind: 'unreachable'; readonly detail: string}
 );
@@ -20,10 +20,10 @@
 export async function readVmStatuses(
   list: VmList,
   timeoutMs: number,
-): Promise<readonly VmStatusAnswer[] | undefined> {
+): Promise<readonly VmStatusResult[] | undefined> {
   const vms = await list.read();
   if (!vms.ok) return undefined;
-  const answers: VmStatusAnswer[] = [];
+  const answers: VmStatusResult[] = [];
   const pending = [...vms.value.entries()];
   const worker = async (): Promise<void> => {
     for (let item = pending.shift(); item; item = pending.shift()) {
@@ -37,12 +37,12 @@
 async function readVmStatus(
   listed: ListedVm,
   timeoutMs: number,
-): Promise<VmStatusAnswer> {
+): Promise<VmStatusResult> {
   if (listed.http === undefined) {
     return {listed, kind: 'unreachable', detail: 'the list has no HTTP port'};
   }
   const endpoint = {baseUrl: `http://${listed.http}`, timeoutMs};
-  const res = await httpCall(endpoint, '/status');
+  const res = await sendHttpRequest(endpoint, '/status');
   if (!res.ok) {
     const {err} = res;
     const detail = err.kind === 'conflict' ? err.kind : err.detail;
--- a/packages/store/src/transactional_store.ts
+++ b/packages/store/src/transactional_store.ts
@@ -28,7 +28,7 @@
 }
 
 /** The rows of a table, or the rows that changed after a version. */
-export interface TableAnswer extends StoreTiming {
+export interface TableReadResult extends StoreTiming {
   readonly rows: readonly TableRow[];
   /** Keys of removed rows. */
   readonly removed: readonly string[];
@@ -37,7 +37,7 @@
 }
 
 /** The result of a committed transaction. */
-export interface TransactionAnswer extends StoreTiming {
+export interface TransactionResult extends StoreTiming {
   /** The version that the transaction created. */
   readonly version: number;
 }
@@ -59,13 +59,13 @@
 
 /** One table of a store that has transactions and a change feed. */
 export abstract class TransactionalStore {
-  abstract readAll(): Promise<Result<TableAnswer, StoreReadError>>;
+  abstract readAll(): Promise<Result<TableReadResult, StoreReadError>>;
   /** Waits up to `waitMs` for changes newer than `afterVersion`. */
   abstract changes(
     afterVersion: number,
     waitMs: number,
-  ): Promise<Result<TableAnswer, StoreReadError>>;
+  ): Promise<Result<TableReadResult, StoreReadError>>;
   abstract transact(
     transaction: RowTransaction,
-  ): Promise<Result<TransactionAnswer, StoreWriteError>>;
+  ): Promise<Result<TransactionResult, StoreWriteError>>;
 }
--- a/soak/src/checks/__tests__/check_history.test.ts
+++ b/soak/src/checks/__tests__/check_history.test.ts
@@ -1,10 +1,10 @@
 import {describe, expect, it} from 'vitest';
-import {newHistory} from '@pistachiorill/platform/standins';
+import {createHistory} from '@pistachiorill/platform/standins';
 import type {
   Commit,
   History,
   Operation,
-  Run,
+  StatementExecution,
   SentStatement,
 } from '@pistachiorill/platform/standins';
 import {checkHistory} from '../check_history.js';
@@ -25,7 +25,11 @@
   };
 }
 
-function run(id: string, text: string, more: Partial<Run> = {}): Run {
+function run(
+  id: string,
+  text: string,
+  more: Partial<StatementExecution> = {},
+): StatementExecution {
   return {
     id,
     text,
@@ -69,9 +73,9 @@
 
 /** A history without violations: two acknowledged writes and a read of both. */
 function historyWithoutViolations(): History {
-  const history = newHistory();
+  const history = createHistory();
   history.commits.push(FIRST, SECOND);
-  history.runs.push(
+  history.executions.push(
     run('w1', 'WRITE i d1', {at: 100}),
     run('w2', 'WRITE i d2', {at: 200}),
     run('r1', 'READ i'),
@@ -97,17 +101,24 @@
 }
 
 const CONTEXT: CheckContext = {
-  ends: new Map([['wash', SECOND]]),
+  finalCommits: new Map([['wash', SECOND]]),
   withdrawnAt: new Map(),
-  isCalm: () => true,
-  recovery: {fromMs: 300, leastShare: 0.25},
+  isUndisturbed: () => true,
+  recovery: {fromMs: 300, minServedShare: 0.25},
 };
 
 type Change = (history: History) => Partial<CheckContext> | void;
 
-function changeRun(history: History, id: string, more: Partial<Run>): void {
-  const index = history.runs.findIndex(item => item.id === id);
-  history.runs[index] = {...(history.runs[index] as Run), ...more};
+function changeRun(
+  history: History,
+  id: string,
+  more: Partial<StatementExecution>,
+): void {
+  const index = history.executions.findIndex(item => item.id === id);
+  history.executions[index] = {
+    ...(history.executions[index] as StatementExecution),
+    ...more,
+  };
 }
 
 function changeOperation(
@@ -180,7 +191,7 @@
     'a read that lacks what a promotion rolled back',
     history => {
       changeRun(history, 'r1', {sees: FIRST});
-      return {ends: new Map([['wash', FIRST]])};
+      return {finalCommits: new Map([['wash', FIRST]])};
     },
   ],
   [
@@ -202,14 +213,14 @@
         ],
       });
       changeRun(history, 'w1', {transaction: 1});
-      history.runs.push(
+      history.executions.push(
         run('w3', 'WRITE i d1', {transaction: 2, connection: 2}),
       );
     },
   ],
   [
     'a key received by a member',
-    history => void history.callersAtMembers.add('key-1'),
+    history => void history.workspacesAtMembers.add('key-1'),
   ],
   [
     'a fencing number used by two holders',
@@ -237,7 +248,10 @@
     'a withdrawn key at a VM that cannot receive the update',
     history => {
       changeOperation(history, 2, {startedAt: 4_000, endedAt: 4_010});
-      return {withdrawnAt: new Map([['key-1', 500]]), isCalm: () => false};
+      return {
+        withdrawnAt: new Map([['key-1', 500]]),
+        isUndisturbed: () => false,
+      };
     },
   ],
   [
--- a/soak/src/checks/check_history.ts
+++ b/soak/src/checks/check_history.ts
@@ -1,18 +1,18 @@
 import {
-  CONFIGURATION_BOUND_MS,
-  MAX_AGE_MS,
-  isInLog,
+  MAX_WITHDRAWAL_DELAY_MS,
+  MAX_STALENESS_MS,
+  logContains,
 } from '@pistachiorill/platform/standins';
 import type {
   Commit,
   DatabaseKind,
   History,
   Operation,
-  Run,
+  StatementExecution,
 } from '@pistachiorill/platform/standins';
 
 /** Which guarantee of the gateway a history violates. */
-export type BrokenPromise =
+export type ViolationKind =
   /** A response differs from what the members returned for the statement. */
   | 'answer-not-from-member'
   /** The data of one write was committed more than once. */
@@ -41,23 +41,23 @@
 /** One violation of a guarantee. */
 export interface Violation {
   /** The violated guarantee. */
-  readonly promise: BrokenPromise;
+  readonly promise: ViolationKind;
   readonly detail: string;
 }
 
 /** The facts about a run that its history does not contain. */
 export interface CheckContext {
   /** The last commit of each group's primary at the end of the run. */
-  readonly ends: ReadonlyMap<string, Commit | undefined>;
+  readonly finalCommits: ReadonlyMap<string, Commit | undefined>;
   /** When each withdrawn key was withdrawn. */
   readonly withdrawnAt: ReadonlyMap<string, number>;
   /**
    * Whether no fault stopped or paused a VM, or disturbed its access to the
    * store, during the interval.
    */
-  readonly isCalm: (fromMs: number, toMs: number) => boolean;
+  readonly isUndisturbed: (fromMs: number, toMs: number) => boolean;
   /** The share of operations after `fromMs` that must succeed. */
-  readonly recovery: {readonly fromMs: number; readonly leastShare: number};
+  readonly recovery: {readonly fromMs: number; readonly minServedShare: number};
 }
 
 /** Finds the violations in the recorded operations of callers and members. */
@@ -65,7 +65,7 @@
   history: History,
   context: CheckContext,
 ): readonly Violation[] {
-  const runs = groupBy(history.runs, run => run.id);
+  const runs = groupBy(history.executions, run => run.id);
   const commits = groupBy(history.commits, commit => commit.data);
   return [
     ...history.operations.flatMap(operation => [
@@ -96,7 +96,10 @@
   return groups;
 }
 
-function checkAnswers({statements}: Operation, runs: ById<Run>): Violation[] {
+function checkAnswers(
+  {statements}: Operation,
+  runs: ById<StatementExecution>,
+): Violation[] {
   return statements.flatMap(({id, answer}) => {
     if (!answer) return [];
     const isFromMember = (runs.get(id) ?? []).some(
@@ -110,7 +113,7 @@
 
 function checkTransaction(
   {kind, outcome, session, statements}: Operation,
-  runs: ById<Run>,
+  runs: ById<StatementExecution>,
 ): Violation[] {
   const found: Violation[] = [];
   const answered = statements.flatMap(({id, answer}) =>
@@ -168,11 +171,11 @@
 
 function checkWithdrawnKey(
   {outcome, key, startedAt}: Operation,
-  {withdrawnAt, isCalm}: CheckContext,
+  {withdrawnAt, isUndisturbed: isCalm}: CheckContext,
 ): Violation[] {
   const withdrawn = withdrawnAt.get(key) ?? Infinity;
   if (outcome !== 'success') return [];
-  if (startedAt < withdrawn + CONFIGURATION_BOUND_MS) return [];
+  if (startedAt < withdrawn + MAX_WITHDRAWAL_DELAY_MS) return [];
   // A VM that cannot receive the update may serve the key for longer.
   if (!isCalm(withdrawn, startedAt)) return [];
   const lateMs = Math.round(startedAt - withdrawn);
@@ -185,7 +188,10 @@
   );
 }
 
-function checkStatementTexts({operations, runs}: History): Violation[] {
+function checkStatementTexts({
+  operations,
+  executions: runs,
+}: History): Violation[] {
   const sent = new Map(
     operations.flatMap(({statements}) =>
       statements.map(({id, text}) => [id, text] as const),
@@ -201,22 +207,22 @@
 /** How old commits of other sessions may be that a read does not return. */
 const MAX_READ_AGE_MS: Readonly<Record<DatabaseKind, number>> = {
   strict: 0,
-  own: MAX_AGE_MS,
-  bounded: MAX_AGE_MS,
+  own: MAX_STALENESS_MS,
+  bounded: MAX_STALENESS_MS,
 };
 
 function checkStaleReads(
   {operations}: History,
-  runs: ById<Run>,
+  runs: ById<StatementExecution>,
   commits: ById<Commit>,
-  {ends}: CheckContext,
+  {finalCommits: ends}: CheckContext,
 ): Violation[] {
   const acknowledged = operations
     .filter(item => item.outcome === 'success' && item.data !== undefined)
     .flatMap(({data, endedAt, session}) =>
       (commits.get(data ?? '') ?? [])
         // A read need not return a commit that a promotion rolled back.
-        .filter(commit => isInLog(commit, ends.get(commit.group)))
+        .filter(commit => logContains(commit, ends.get(commit.group)))
         .map(commit => ({commit, endedAt, session})),
     );
   return operations.flatMap(operation => {
@@ -236,7 +242,7 @@
     return statements
       .filter(({access}) => access === 'read')
       .flatMap(({id}) => runs.get(id) ?? [])
-      .filter(run => !isInLog(newest, run.sees))
+      .filter(run => !logContains(newest, run.sees))
       .map(run =>
         violation(
           'stale-read',
@@ -262,7 +268,7 @@
 }
 
 function checkKeysAtMembers({
-  callersAtMembers,
+  workspacesAtMembers: callersAtMembers,
   operations,
 }: History): Violation[] {
   const keys = new Set(operations.map(item => item.key));
@@ -277,10 +283,10 @@
 ): Violation[] {
   const last = operations.filter(item => item.startedAt >= recovery.fromMs);
   const served = last.filter(item => item.outcome === 'success').length;
-  if (served > 0 && served >= last.length * recovery.leastShare) return [];
+  if (served > 0 && served >= last.length * recovery.minServedShare) return [];
   return [violation('no-recovery', `${served} of ${last.length} served`)];
 }
 
-function violation(promise: BrokenPromise, detail: string): Violation {
+function violation(promise: ViolationKind, detail: string): Violation {
   return {promise, detail};
 }
--- a/soak/src/clients/caller.ts
+++ b/soak/src/clients/caller.ts
@@ -5,8 +5,8 @@
   LineClient,
   WORKSPACES,
   databaseName,
-  keyOf,
-  textAtMember,
+  accessKey,
+  executedText,
 } from '@pistachiorill/platform/standins';
 import type {
   ClientAnswer,
@@ -26,7 +26,7 @@
 const ITEM_COUNT = 20;
 
 /** The settings and collaborators of a caller. */
-export interface CallerTools {
+export interface CallerDependencies {
   readonly name: string;
   readonly groups: readonly string[];
   /** Addresses of the VMs, one of which each session connects to. */
@@ -52,7 +52,7 @@
   private statements = 0;
   private phase: 'running' | 'stopped' = 'running';
 
-  constructor(private readonly deps: CallerTools) {}
+  constructor(private readonly deps: CallerDependencies) {}
 
   /** Runs until `stop` is called, and reconnects after lost connections. */
   async run(): Promise<void> {
@@ -84,7 +84,10 @@
     const id = `${this.deps.name}.${++this.sessions}`;
     const group = this.pick(this.deps.groups);
     const database = this.pick(DATABASES);
-    const key = keyOf(this.pick(WORKSPACES), this.deps.random.integer(1, 2));
+    const key = accessKey(
+      this.pick(WORKSPACES),
+      this.deps.random.integer(1, 2),
+    );
     const address = this.pick(this.deps.addresses);
     const name = databaseName(group, database);
     const client = await LineClient.open(address, name, key);
@@ -194,7 +197,7 @@
     const answer = await session.client.run(id, command);
     const statement: SentStatement = {
       id,
-      text: textAtMember(command),
+      text: executedText(command),
       access: command.kind.startsWith('read') ? 'read' : 'write',
       sentAt,
       answer:
--- a/soak/src/faults/fault_injector.ts
+++ b/soak/src/faults/fault_injector.ts
@@ -1,9 +1,9 @@
 import {WORKSPACES} from '@pistachiorill/platform/standins';
 import type {
   FaultProxy,
-  PlatformWorld,
+  SimulatedPlatform,
   ProxyMode,
-  StoreMood,
+  StoreFaultMode,
 } from '@pistachiorill/platform/standins';
 import type {VmProcess} from '../vm_process.js';
 import type {Fault, FaultKind} from './fault_plan.js';
@@ -39,7 +39,7 @@
   private readonly pending = new Set<Promise<void>>();
 
   constructor(
-    private readonly standins: PlatformWorld,
+    private readonly standins: SimulatedPlatform,
     private readonly vms: readonly VmProcess[],
     private readonly clock: () => number,
   ) {}
@@ -52,12 +52,12 @@
   }
 
   /** Waits until all injected faults have ended. */
-  async untilOver(): Promise<void> {
+  async waitForAll(): Promise<void> {
     await Promise.all(this.pending);
   }
 
   /** Whether no fault disturbed VMs or the store during the interval. */
-  isCalm(fromMs: number, toMs: number): boolean {
+  isUndisturbed(fromMs: number, toMs: number): boolean {
     return this.disturbedIntervals.every(
       span => span.toMs < fromMs || span.fromMs > toMs,
     );
@@ -101,9 +101,9 @@
       case 'store-cut-from-vm':
         return setProxyMode(vm.paths.storeProxy, 'silent');
       case 'orders-lose-answers':
-        this.standins.orders.mood = 'loses-answers';
+        this.standins.orders.faultMode = 'loses-answers';
         return () => {
-          this.standins.orders.mood = 'answers';
+          this.standins.orders.faultMode = 'answers';
         };
       case 'member-cut-from-vm':
         return setProxyMode(memberProxy, 'silent');
@@ -135,26 +135,26 @@
     }
   }
 
-  private setStoreFaultMode(faultMode: StoreMood): Undo {
-    for (const {paths} of this.vms) paths.store.mood = faultMode;
+  private setStoreFaultMode(faultMode: StoreFaultMode): Undo {
+    for (const {paths} of this.vms) paths.store.faultMode = faultMode;
     return () => {
-      for (const {paths} of this.vms) paths.store.mood = 'answers';
+      for (const {paths} of this.vms) paths.store.faultMode = 'answers';
     };
   }
 
   private takeDown(name: string, how: 'dark' | 'crashed'): Undo {
-    this.standins.takeDown(name, how);
-    return () => this.standins.bringBack(name);
+    this.standins.failMember(name, how);
+    return () => this.standins.recoverMember(name);
   }
 
   /** Lists the member as draining; after the drain it crashes and restarts. */
   private drainAndRestart(name: string): Undo {
-    this.standins.setListing(name, 'draining');
+    this.standins.setReportedState(name, 'draining');
     return async () => {
       await new Promise(resolve => setTimeout(resolve, DRAIN_MS));
-      this.standins.takeDown(name, 'crashed');
-      this.standins.setListing(name, 'ready');
-      this.standins.bringBack(name);
+      this.standins.failMember(name, 'crashed');
+      this.standins.setReportedState(name, 'ready');
+      this.standins.recoverMember(name);
     };
   }
 
--- a/soak/src/run_soak.ts
+++ b/soak/src/run_soak.ts
@@ -5,12 +5,12 @@
 import {Random} from '@pistachiorill/core';
 import {findFreePorts} from '@pistachiorill/launcher';
 import {
-  HOST,
-  PlatformWorld,
+  LOOPBACK_HOST,
+  SimulatedPlatform,
   READY_PATH,
   WORKSPACES,
-  keyOf,
-  newHistory,
+  accessKey,
+  createHistory,
 } from '@pistachiorill/platform/standins';
 import type {History} from '@pistachiorill/platform/standins';
 import {sleep} from '@pistachiorill/tasks';
@@ -60,8 +60,8 @@
   const folder = join(settings.folder, `seed-${seed}`);
   mkdirSync(folder, {recursive: true});
   const clock = (): number => performance.now();
-  const history = newHistory();
-  const standins = await PlatformWorld.start(history, clock);
+  const history = createHistory();
+  const standins = await SimulatedPlatform.start(history, clock);
   const vms = await startVms(settings, standins, folder);
   const injector = new FaultInjector(standins, vms, clock);
   const callers = startCallers(settings, standins, vms, history, clock);
@@ -73,7 +73,7 @@
       injector.inject(fault);
     }
     await sleep(Math.max(0, startedAt + lengthMs - clock()));
-    await injector.untilOver();
+    await injector.waitForAll();
     await sleep(2 * RECOVERY_MS);
     for (const {caller} of callers) caller.stop();
     await Promise.all(callers.map(item => item.done));
@@ -83,17 +83,17 @@
     standins.close();
   }
   const violations = checkHistory(history, {
-    ends: new Map(
+    finalCommits: new Map(
       [...standins.groups].map(([name, group]) => [
         name,
         group.primary()?.received,
       ]),
     ),
     withdrawnAt: withdrawalTimes(standins),
-    isCalm: (fromMs, toMs) => injector.isCalm(fromMs, toMs),
+    isUndisturbed: (fromMs, toMs) => injector.isUndisturbed(fromMs, toMs),
     recovery: {
       fromMs: clock() - RECOVERY_MS,
-      leastShare: MIN_SERVED_SHARE,
+      minServedShare: MIN_SERVED_SHARE,
     },
   });
   if (violations.length > 0) saveHistory(folder, history, violations);
@@ -110,7 +110,7 @@
 
 async function startVms(
   {vms, program}: SoakSettings,
-  standins: PlatformWorld,
+  standins: SimulatedPlatform,
   folder: string,
 ): Promise<readonly VmProcess[]> {
   const started: VmProcess[] = [];
@@ -118,7 +118,7 @@
     const [callers = 0, readiness = 0, peers = 0, metrics = 0] =
       await findFreePorts(4);
     const ports = {callers, readiness, peers, metrics};
-    const paths = await standins.connectVm();
+    const paths = await standins.createVmEndpoints();
     const vm = new VmProcess(`vm-${number}`, ports, paths, program, folder);
     vm.start();
     started.push(vm);
@@ -135,7 +135,7 @@
 
 function isReady(port: number): Promise<boolean> {
   return new Promise(resolve => {
-    const req = get({host: HOST, port, path: READY_PATH}, res => {
+    const req = get({host: LOOPBACK_HOST, port, path: READY_PATH}, res => {
       res.resume();
       resolve(res.statusCode === 200);
     });
@@ -145,7 +145,7 @@
 
 function startCallers(
   {callers, seed}: SoakSettings,
-  standins: PlatformWorld,
+  standins: SimulatedPlatform,
   vms: readonly VmProcess[],
   history: History,
   clock: () => number,
@@ -165,9 +165,9 @@
 
 function withdrawalTimes({
   operators,
-}: PlatformWorld): ReadonlyMap<string, number> {
+}: SimulatedPlatform): ReadonlyMap<string, number> {
   return new Map(
-    WORKSPACES.map(name => keyOf(name, 2)).flatMap(key => {
+    WORKSPACES.map(name => accessKey(name, 2)).flatMap(key => {
       const at = operators.withdrawnAt(key);
       return at === undefined ? [] : [[key, at] as const];
     }),
@@ -187,7 +187,7 @@
     ...history.commits.map(({previous, ...item}) =>
       JSON.stringify({commit: {...item, after: previous?.number ?? 0}}),
     ),
-    ...history.runs.map(({sees, ...item}) =>
+    ...history.executions.map(({sees, ...item}) =>
       JSON.stringify({run: {...item, sees: sees?.number ?? 0}}),
     ),
   ];
--- a/soak/src/vm_process.ts
+++ b/soak/src/vm_process.ts
@@ -2,8 +2,8 @@
 import type {ChildProcess} from 'node:child_process';
 import {closeSync, openSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
-import {HOST} from '@pistachiorill/platform/standins';
-import type {VmPaths} from '@pistachiorill/platform/standins';
+import {LOOPBACK_HOST} from '@pistachiorill/platform/standins';
+import type {VmEndpoints} from '@pistachiorill/platform/standins';
 
 /** Ports of one VM, which are reserved before it starts. */
 export interface VmPorts {
@@ -24,7 +24,7 @@
   constructor(
     readonly name: string,
     readonly ports: VmPorts,
-    readonly paths: VmPaths,
+    readonly paths: VmEndpoints,
     private readonly program: string,
     folder: string,
   ) {
@@ -35,7 +35,7 @@
 
   /** The address to which callers connect. */
   get callerAddress(): string {
-    return `${HOST}:${this.ports.callers}`;
+    return `${LOOPBACK_HOST}:${this.ports.callers}`;
   }
 
   /** Starts the process; its output is appended to the log of the VM. */
@@ -72,10 +72,10 @@
       `data_centre = dc-${this.name.at(-1)}`,
       'region = soak',
       '[listen]',
-      `callers = ${HOST}:${callers}`,
-      `readiness = ${HOST}:${readiness}`,
-      `peers = ${HOST}:${peers}`,
-      `metrics = ${HOST}:${metrics}`,
+      `callers = ${LOOPBACK_HOST}:${callers}`,
+      `readiness = ${LOOPBACK_HOST}:${readiness}`,
+      `peers = ${LOOPBACK_HOST}:${peers}`,
+      `metrics = ${LOOPBACK_HOST}:${metrics}`,
       '[store]',
       `address = ${this.paths.storeAddress}`,
       '[orders]',
