--- a/packages/cli/src/commands/promote.ts
+++ b/packages/cli/src/commands/promote.ts
@@ -14,11 +14,11 @@
 import {describeOutcome} from '../support/describe_outcome.js';
 import {EXIT_CODES} from '../support/exit_code.js';
 import type {ExitCode} from '../support/exit_code.js';
-import {CachedVmList} from '../support/last_vm_list.js';
+import {CachedVmList} from '../support/cached_vm_list.js';
 import {loadDocument} from '../support/load_document.js';
 import type {Output} from '../support/output.js';
 import type {Platform} from '../support/platform.js';
-import {readCurrentDocument} from '../support/read_current.js';
+import {readCurrentDocument} from '../support/read_current_document.js';
 import {recordPromotion} from '../support/record_promotion.js';
 
 const WRITE_TIMEOUT_MS = 10_000;
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -6,7 +6,7 @@
 import {formatTable} from '../support/format_table.js';
 import type {Output} from '../support/output.js';
 import type {Platform} from '../support/platform.js';
-import {readCurrentDocument} from '../support/read_current.js';
+import {readCurrentDocument} from '../support/read_current_document.js';
 
 /**
  * Prints the version in force, what is out of service, and the status of VMs
--- a/packages/core/src/failover/decide_failover.ts
+++ b/packages/core/src/failover/decide_failover.ts
@@ -31,8 +31,8 @@
   FailoverState,
   FailoverStep,
 } from './failover_state.js';
-import {findOutdatedMembers} from './find_unled_members.js';
-import {decideSwitchover} from './planned_move.js';
+import {findOutdatedMembers} from './find_outdated_members.js';
+import {decideSwitchover} from './decide_switchover.js';
 
 type Observation = Extract<FailoverMessage, {kind: 'observed'}>;
 
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -10,7 +10,7 @@
 export * from './authority/authority_state.js';
 export * from './authority/confirmation.js';
 export * from './authority/decide_authority.js';
-export {proofProbeTargets} from './authority/probes_for_proof.js';
+export {proofProbeTargets} from './authority/proof_probe_targets.js';
 export {Filter} from './common/filter.js';
 export {Random} from './common/random.js';
 export {rendezvousOrder} from './common/rendezvous.js';
@@ -66,11 +66,11 @@
   retransmissionLimit,
   shuffle,
   selectChanges,
-} from './membership/take_changes.js';
+} from './membership/select_changes.js';
 export * from './routing/freshness.js';
 export * from './routing/group_view.js';
 export type * from './routing/member_state.js';
-export * from './routing/outlier.js';
+export * from './routing/outlier_ejection.js';
 export {PrimaryOnlyPolicy} from './routing/primary_only_policy.js';
 export {ReadPolicy} from './routing/read_policy.js';
 export type {MemberChoice, MemberRequest} from './routing/read_policy.js';
@@ -87,13 +87,13 @@
 export * from './statement/refusal.js';
 export {scanSql} from './statement/sql_scanner.js';
 export type * from './statement/statement.js';
-export type {TransactionScope} from './statement/statement_verb.js';
-export type * from './configuration/served_configuration.js';
+export type {TransactionScope} from './statement/classify_statement.js';
+export type * from './configuration/runtime_configuration.js';
 export * from './leadership/index.js';
 export * from './quota/transfer/decide_transfer.js';
 export * from './quota/transfer/share_table.js';
 export * from './quota/transfer/token_bucket.js';
-export * from './quota/transfer/workspace_homes.js';
+export * from './quota/transfer/rate_holders.js';
 export * from './routing/position_samples.js';
 export * from './routing/rank_members.js';
 export * from './sessions/conclude_attempt.js';
--- a/packages/core/src/leadership/__tests__/take_duty.test.ts
+++ b/packages/core/src/leadership/__tests__/coordinator_lease.test.ts
@@ -3,7 +3,7 @@
   COORDINATOR_LEASE_MS,
   decideCoordinatorLease,
   holdsCoordinatorLease,
-} from '../take_duty.js';
+} from '../coordinator_lease.js';
 
 const HELD = {holder: 'vm-a', fence: 7, takenAt: 1_000};
 
--- a/packages/core/src/leadership/__tests__/primary_right.test.ts
+++ b/packages/core/src/leadership/__tests__/primary_lease.test.ts
@@ -5,8 +5,8 @@
   PRIMARY_LEASE_MS,
   mayHoldPrimaryLease,
   decidePrimaryLease,
-} from '../primary_right.js';
-import type {PrimaryLeaseInput} from '../primary_right.js';
+} from '../primary_lease.js';
+import type {PrimaryLeaseInput} from '../primary_lease.js';
 import {
   UNKNOWN_STORE_CLOCK,
   widenStoreClock,
--- a/packages/core/src/membership/__tests__/decide_membership.test.ts
+++ b/packages/core/src/membership/__tests__/decide_membership.test.ts
@@ -9,7 +9,7 @@
   MAX_CHANGES_PER_MESSAGE,
   retransmissionLimit,
   selectChanges,
-} from '../take_changes.js';
+} from '../select_changes.js';
 
 function peer(vm: string, instance = 'i1'): PeerRecord {
   return {vm, dataCentre: vm[0] ?? '', address: `${vm}:1`, instance};
--- a/packages/core/src/membership/decide_membership.ts
+++ b/packages/core/src/membership/decide_membership.ts
@@ -12,7 +12,7 @@
 } from './membership_state.js';
 import {mergeChange, setPeerState} from './merge_change.js';
 import type {MembershipChange, PeerRecord} from './peer_record.js';
-import {shuffle} from './take_changes.js';
+import {shuffle} from './select_changes.js';
 
 /** Minimum interval between two probes of a listed VM that is no peer yet. */
 const CANDIDATE_PROBE_INTERVAL_MS = 5_000;
--- a/packages/core/src/quota/borrow.ts
+++ b/packages/core/src/quota/borrow.ts
@@ -1,7 +1,7 @@
 import type {Random} from '../common/random.js';
 import {significantDemandAt} from './demand_estimate.js';
 import {effectiveLimitsAt} from './limit_history.js';
-import {MIN_LOAN_TOKENS, neededRatePpm} from './lend.js';
+import {MIN_LOAN_TOKENS, neededRatePpm} from './decide_loan.js';
 import type {
   BorrowedLoan,
   LoanGrant,
--- a/packages/core/src/quota/decide_quota.ts
+++ b/packages/core/src/quota/decide_quota.ts
@@ -1,7 +1,7 @@
 import type {Random} from '../common/random.js';
 import {abandonRequest, acceptGrant, planRequests} from './borrow.js';
 import {afterArrival} from './demand_estimate.js';
-import {decideLoan} from './lend.js';
+import {decideLoan} from './decide_loan.js';
 import {changeLimits} from './limit_history.js';
 import type {LoanRequest} from './loan.js';
 import type {QuotaLimits} from './quota_limits.js';
--- a/packages/core/src/statement/__tests__/parse_options_filter.test.ts
+++ b/packages/core/src/statement/__tests__/parse_options_filter.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {ParseOptionsFilter} from '../parse_options_filter.js';
 import type {ReceivedStatement} from '../statement.js';
-import type {TransactionScope} from '../statement_verb.js';
+import type {TransactionScope} from '../classify_statement.js';
 
 const CASES: ReadonlyArray<readonly [string, TransactionScope, string]> = [
   ['accepts a query without options', 'autocommit', 'SELECT 1'],
--- a/packages/core/src/statement/parse_options_filter.ts
+++ b/packages/core/src/statement/parse_options_filter.ts
@@ -10,7 +10,10 @@
   StatementOptions,
 } from './statement.js';
 import {isOptionsComment, parseOptionsComment} from './statement_options.js';
-import {classifyStatement, isDefinitionStatement} from './statement_verb.js';
+import {
+  classifyStatement,
+  isDefinitionStatement,
+} from './classify_statement.js';
 
 /** Parses the options of a statement and classifies it. */
 export class ParseOptionsFilter extends Filter<
--- a/packages/core/src/statement/statement.ts
+++ b/packages/core/src/statement/statement.ts
@@ -2,7 +2,7 @@
 import type {Route} from '../routing/route.js';
 import type {LogPosition} from '../session/log_position.js';
 import type {SessionRequirement} from '../session/session_requirement.js';
-import type {TransactionScope} from './statement_verb.js';
+import type {TransactionScope} from './classify_statement.js';
 
 /**
  * Whether the VM's view of the configuration and the quota shares is proven
--- a/packages/entry/src/configuration/member_configuration_peers.ts
+++ b/packages/entry/src/configuration/fleet_configuration_peers.ts
@@ -1,7 +1,7 @@
 import type {ConfigurationVersion, Random} from '@pistachiorill/core';
 import type {ConfigurationResponse} from '@pistachiorill/peers';
 import type {MembershipView} from '../membership/membership_view.js';
-import {PeerClientCache} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_client_cache.js';
 import {ConfigurationPeers} from './configuration_peers.js';
 
 /** Peers asked at once; one that is reachable and up to date is enough. */
--- a/packages/entry/src/daemon/entry_daemon.ts
+++ b/packages/entry/src/daemon/entry_daemon.ts
@@ -37,16 +37,16 @@
 import type {ExecutorLookup} from '../caller/execute_filter.js';
 import {ConfigurationTask} from '../configuration/configuration_task.js';
 import type {AppliedDocument} from '../configuration/configuration_task.js';
-import {FleetConfigurationPeers} from '../configuration/member_configuration_peers.js';
+import {FleetConfigurationPeers} from '../configuration/fleet_configuration_peers.js';
 import {groupStatus} from '../http/group_status.js';
 import {StatusServer} from '../http/status_server.js';
 import {LifecycleTask} from '../lifecycle/lifecycle_task.js';
 import {NO_PAYLOADS} from '../membership/gossip_payloads.js';
 import type {MembershipView} from '../membership/membership_view.js';
-import {QuotaSubsystem} from '../quota/quota_part.js';
+import {QuotaSubsystem} from '../quota/quota_subsystem.js';
 import {GroupDirectory} from '../routing/group_directory.js';
 import {createOwnedGroup} from './create_owned_group.js';
-import {PeerSubsystem} from './peer_part.js';
+import {PeerSubsystem} from './peer_subsystem.js';
 
 /** Limits the wait for an unavailable store when the VM stops. */
 const FINAL_FLUSH_TIMEOUT_MS = 1_000;
--- a/packages/entry/src/forward/__tests__/fakes.ts
+++ b/packages/entry/src/forward/__tests__/fakes.ts
@@ -9,8 +9,8 @@
 } from '@pistachiorill/core';
 import type {ForwardResponse, PeerError} from '@pistachiorill/peers';
 import {GroupExecutor, TransactionHandle} from '../../group/group_executor.js';
-import {OwnerClient} from '../owner_calls.js';
-import type {OwnerTarget} from '../owner_calls.js';
+import {OwnerClient} from '../owner_client.js';
+import type {OwnerTarget} from '../owner_client.js';
 
 /** The context of a VM that serves. */
 export const CONTEXT = {
--- a/packages/entry/src/forward/__tests__/forwarding_executor.test.ts
+++ b/packages/entry/src/forward/__tests__/forwarding_executor.test.ts
@@ -1,7 +1,7 @@
 import type {Refusal, Result, Route} from '@pistachiorill/core';
 import {describe, expect, it} from 'vitest';
 import {ForwardingExecutor} from '../forwarding_executor.js';
-import type {OwnerTarget} from '../owner_calls.js';
+import type {OwnerTarget} from '../owner_client.js';
 import {REPLY, ScriptedOwnerClient, statementOf} from './fakes.js';
 import type {ScriptedAnswer} from './fakes.js';
 
--- a/packages/entry/src/forward/forwarded_transaction.ts
+++ b/packages/entry/src/forward/forwarded_transaction.ts
@@ -6,10 +6,10 @@
   StatementReply,
 } from '@pistachiorill/core';
 import {TransactionHandle} from '../group/group_executor.js';
-import {ANSWER_GRACE_MS} from './forward_tools.js';
-import type {ForwardingDependencies} from './forward_tools.js';
-import type {OwnerTarget} from './owner_calls.js';
-import {decodeAnswer} from './wire_reply.js';
+import {ANSWER_GRACE_MS} from './forwarding_dependencies.js';
+import type {ForwardingDependencies} from './forwarding_dependencies.js';
+import type {OwnerTarget} from './owner_client.js';
+import {decodeAnswer} from './wire_answer.js';
 import {encodeStatement} from './wire_statement.js';
 
 /** Time limit for the rollback call, which has no deadline of a caller. */
--- a/packages/entry/src/forward/forward_tools.ts
+++ b/packages/entry/src/forward/forwarding_dependencies.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@pistachiorill/tasks';
 import type {KeepAliveTask} from './keep_alive_task.js';
-import type {OwnerClient} from './owner_calls.js';
+import type {OwnerClient} from './owner_client.js';
 
 /**
  * Extra time to wait after the deadline, so that a refusal that the owner sends
--- a/packages/entry/src/forward/forwarding_executor.ts
+++ b/packages/entry/src/forward/forwarding_executor.ts
@@ -9,10 +9,10 @@
 import {GroupExecutor} from '../group/group_executor.js';
 import type {TransactionHandle} from '../group/group_executor.js';
 import {ForwardedTransaction} from './forwarded_transaction.js';
-import {ANSWER_GRACE_MS} from './forward_tools.js';
-import type {ForwardingDependencies} from './forward_tools.js';
-import type {OwnerTarget} from './owner_calls.js';
-import {decodeAnswer} from './wire_reply.js';
+import {ANSWER_GRACE_MS} from './forwarding_dependencies.js';
+import type {ForwardingDependencies} from './forwarding_dependencies.js';
+import type {OwnerTarget} from './owner_client.js';
+import {decodeAnswer} from './wire_answer.js';
 import {encodeStatement} from './wire_statement.js';
 
 type OwnerAnswer<T> = Result<Result<T, Refusal>, PeerError>;
--- a/packages/entry/src/forward/keep_alive_task.ts
+++ b/packages/entry/src/forward/keep_alive_task.ts
@@ -1,5 +1,5 @@
 import {Task} from '@pistachiorill/tasks';
-import type {OwnerClient, OwnerTarget} from './owner_calls.js';
+import type {OwnerClient, OwnerTarget} from './owner_client.js';
 
 /** Interval between two keep-alives, and the time limit for each. */
 export const KEEP_ALIVE_INTERVAL_MS = 1_000;
--- a/packages/entry/src/forward/owner_calls.ts
+++ b/packages/entry/src/forward/owner_client.ts
@@ -5,7 +5,7 @@
   PeerError,
   WireStatement,
 } from '@pistachiorill/peers';
-import {PeerClientCache} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_client_cache.js';
 
 /** Time limit for sending one failover report. */
 const REPORT_TIMEOUT_MS = 500;
--- a/packages/entry/src/forward/owner_task.ts
+++ b/packages/entry/src/forward/owner_task.ts
@@ -20,7 +20,7 @@
   GroupExecutor,
   TransactionHandle,
 } from '../group/group_executor.js';
-import {encodeAnswer} from './wire_reply.js';
+import {encodeAnswer} from './wire_answer.js';
 import {decodeStatement} from './wire_statement.js';
 
 /**
--- a/packages/entry/src/group/acquire_filter.ts
+++ b/packages/entry/src/group/acquire_filter.ts
@@ -2,7 +2,7 @@
 import type {Refusal, Result} from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
 import type {BackendTask} from '../backend/backend_task.js';
-import type {ChosenStatement, StatementCheckout} from './attempt.js';
+import type {ChosenStatement, StatementCheckout} from './statement_stages.js';
 import type {CheckoutUse} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 
--- a/packages/entry/src/group/choose_member_filter.ts
+++ b/packages/entry/src/group/choose_member_filter.ts
@@ -1,7 +1,7 @@
 import {Filter, ok} from '@pistachiorill/core';
 import type {Refusal, Result, RoutedStatement} from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
-import type {ChosenStatement} from './attempt.js';
+import type {ChosenStatement} from './statement_stages.js';
 import type {ChosenMember} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 
--- a/packages/entry/src/group/confirm_filter.ts
+++ b/packages/entry/src/group/confirm_filter.ts
@@ -7,7 +7,7 @@
 } from '@pistachiorill/core';
 import {ask} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
-import type {ExecutedStatement} from './attempt.js';
+import type {ExecutedStatement} from './statement_stages.js';
 import type {ProofOutcome, QuorumProof} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 
--- a/packages/entry/src/group/group_task.ts
+++ b/packages/entry/src/group/group_task.ts
@@ -24,11 +24,11 @@
 import {SqlGroupControl} from '@pistachiorill/mysql';
 import {Task} from '@pistachiorill/tasks';
 import {BackendTask} from '../backend/backend_task.js';
-import {MemberChoiceQueue} from './choice_queue.js';
-import type {ChoiceContext, PendingChoice} from './choice_queue.js';
+import {MemberChoiceQueue} from './member_choice_queue.js';
+import type {ChoiceContext, PendingChoice} from './member_choice_queue.js';
 import {ConnectionPool} from './connection_pool.js';
 import type {GroupMessage, GroupObservation, Reuse} from './group_message.js';
-import type {GroupDependencies} from './group_tools.js';
+import type {GroupDependencies} from './group_dependencies.js';
 import {MemberControlTask} from './member_control_task.js';
 import type {PollPace, PollReply} from './member_control_task.js';
 import {unpolledMemberView, withPollReply} from './member_view_update.js';
--- a/packages/entry/src/group/local_executor.ts
+++ b/packages/entry/src/group/local_executor.ts
@@ -9,7 +9,7 @@
 import {Pipeline} from '@pistachiorill/tasks';
 import type {Clock} from '@pistachiorill/tasks';
 import {AcquireFilter} from './acquire_filter.js';
-import type {StatementCheckout} from './attempt.js';
+import type {StatementCheckout} from './statement_stages.js';
 import {callBackend} from './backend_call.js';
 import {toRefusal} from './backend_refusal.js';
 import {ChooseMemberFilter} from './choose_member_filter.js';
--- a/packages/entry/src/group/local_transaction.ts
+++ b/packages/entry/src/group/local_transaction.ts
@@ -8,7 +8,7 @@
 import {MYSQL_ERRNO} from '@pistachiorill/mysql';
 import type {BackendError} from '@pistachiorill/mysql';
 import type {Clock} from '@pistachiorill/tasks';
-import type {StatementCheckout} from './attempt.js';
+import type {StatementCheckout} from './statement_stages.js';
 import {callBackend} from './backend_call.js';
 import type {BackendResult} from './backend_call.js';
 import {toRefusal} from './backend_refusal.js';
--- a/packages/entry/src/group/plain_runner.ts
+++ b/packages/entry/src/group/plain_runner.ts
@@ -1,6 +1,6 @@
 import {fail, ok} from '@pistachiorill/core';
 import type {Refusal, Result} from '@pistachiorill/core';
-import type {StatementCheckout} from './attempt.js';
+import type {StatementCheckout} from './statement_stages.js';
 import {toRefusal} from './backend_refusal.js';
 import {StatementRunner} from './statement_runner.js';
 import type {RunOutcome} from './statement_runner.js';
--- a/packages/entry/src/group/recheck_filter.ts
+++ b/packages/entry/src/group/recheck_filter.ts
@@ -1,6 +1,6 @@
 import {Filter, ok} from '@pistachiorill/core';
 import type {Refusal, Result, RoutedStatement} from '@pistachiorill/core';
-import type {StatementCheckout} from './attempt.js';
+import type {StatementCheckout} from './statement_stages.js';
 import type {GroupTask} from './group_task.js';
 
 /** Checks whether a statement may still run after it has waited. */
--- a/packages/entry/src/group/recorded_runner.ts
+++ b/packages/entry/src/group/recorded_runner.ts
@@ -2,7 +2,7 @@
 import type {Refusal, Result, StatementResult} from '@pistachiorill/core';
 import {MYSQL_ERRNO} from '@pistachiorill/mysql';
 import type {BackendError} from '@pistachiorill/mysql';
-import type {StatementCheckout} from './attempt.js';
+import type {StatementCheckout} from './statement_stages.js';
 import {toRefusal} from './backend_refusal.js';
 import {
   CREATE_REQUEST_TABLE,
--- a/packages/entry/src/group/run_filter.ts
+++ b/packages/entry/src/group/run_filter.ts
@@ -1,7 +1,7 @@
 import {Filter, ok} from '@pistachiorill/core';
 import type {Refusal, Result} from '@pistachiorill/core';
 import type {Clock} from '@pistachiorill/tasks';
-import type {ExecutedStatement, StatementCheckout} from './attempt.js';
+import type {ExecutedStatement, StatementCheckout} from './statement_stages.js';
 import type {Reuse} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 import {PlainRunner} from './plain_runner.js';
--- a/packages/entry/src/group/statement_runner.ts
+++ b/packages/entry/src/group/statement_runner.ts
@@ -6,7 +6,7 @@
   StatementResult,
 } from '@pistachiorill/core';
 import type {Clock} from '@pistachiorill/tasks';
-import type {StatementCheckout} from './attempt.js';
+import type {StatementCheckout} from './statement_stages.js';
 import {callBackend} from './backend_call.js';
 import type {BackendResult} from './backend_call.js';
 import {LOG_END_QUERY, decodeLogEnd} from './log_end.js';
--- a/packages/entry/src/membership/membership_task.ts
+++ b/packages/entry/src/membership/membership_task.ts
@@ -27,9 +27,9 @@
 import type {ListedVm} from '@pistachiorill/store';
 import {Task} from '@pistachiorill/tasks';
 import type {Reply} from '@pistachiorill/tasks';
-import {PeerClientCache} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_client_cache.js';
 import type {MembershipMessage} from './membership_message.js';
-import type {MembershipDependencies} from './membership_tools.js';
+import type {MembershipDependencies} from './membership_dependencies.js';
 
 const PROBE_TIMEOUT_MS = 300;
 /** Includes the time for the probe that the helping VM sends. */
--- a/packages/entry/src/quota/member_ledger_peers.ts
+++ b/packages/entry/src/quota/fleet_ledger_peers.ts
@@ -1,7 +1,7 @@
 import type {Random} from '@pistachiorill/core';
 import type {Row} from '@pistachiorill/store';
 import type {MembershipView} from '../membership/membership_view.js';
-import {PeerClientCache} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_client_cache.js';
 import {LedgerPeers} from './ledger_peers.js';
 
 /** Peers are asked one at a time, as the row of a large fleet is long. */
--- a/packages/entry/src/quota/quota_part.ts
+++ b/packages/entry/src/quota/quota_subsystem.ts
@@ -13,11 +13,11 @@
 import type {Clock} from '@pistachiorill/tasks';
 import type {Logger} from '@pistachiorill/telemetry';
 import type {MembershipView} from '../membership/membership_view.js';
-import {PeerClientCache} from '../peers/peer_clients.js';
+import {PeerClientCache} from '../peers/peer_client_cache.js';
 import {AdmitFilter} from './admit_filter.js';
 import {LedgerTask} from './ledger_task.js';
 import type {AuditLedgerChange} from './ledger_task.js';
-import {FleetLedgerPeers} from './member_ledger_peers.js';
+import {FleetLedgerPeers} from './fleet_ledger_peers.js';
 import {QuotaTask} from './quota_task.js';
 
 /** A lender that does not answer in this time counts as unreachable. */
--- a/packages/entry/src/routing/group_directory.ts
+++ b/packages/entry/src/routing/group_directory.ts
@@ -8,8 +8,8 @@
 } from '@pistachiorill/core';
 import type {FailoverTask} from '../failover/failover_task.js';
 import {ForwardingExecutor} from '../forward/forwarding_executor.js';
-import type {ForwardingDependencies} from '../forward/forward_tools.js';
-import type {OwnerTarget} from '../forward/owner_calls.js';
+import type {ForwardingDependencies} from '../forward/forwarding_dependencies.js';
+import type {OwnerTarget} from '../forward/owner_client.js';
 import type {GroupExecutor} from '../group/group_executor.js';
 import type {GroupTask} from '../group/group_task.js';
 import type {MembershipView} from '../membership/membership_view.js';
--- a/packages/entry/src/routing/plan_routing.ts
+++ b/packages/entry/src/routing/plan_routing.ts
@@ -10,7 +10,7 @@
   PeerEntry,
   RoutingMode,
 } from '@pistachiorill/core';
-import type {OwnerTarget} from '../forward/owner_calls.js';
+import type {OwnerTarget} from '../forward/owner_client.js';
 import type {MembershipView} from '../membership/membership_view.js';
 
 /** How this VM reaches one group. */
--- a/packages/gateway/src/daemon/gateway_daemon.ts
+++ b/packages/gateway/src/daemon/gateway_daemon.ts
@@ -16,7 +16,7 @@
 import {FleetTask} from '../fleet/fleet_task.js';
 import {EMPTY_FLEET_VIEW, isProven, provenShares} from '../fleet/fleet_view.js';
 import type {FleetView} from '../fleet/fleet_view.js';
-import {ShareAllocator} from '../fleet/share_keeper.js';
+import {ShareAllocator} from '../fleet/share_allocator.js';
 import {LeadershipTask} from '../leadership/leadership_task.js';
 import {ConfigurationTask} from '../operators/configuration_task.js';
 import {DirectoryTask} from '../operators/directory_task.js';
@@ -29,7 +29,7 @@
 } from '../ports/configuration_source.js';
 import type {ListedMember, MemberDirectory} from '../ports/member_directory.js';
 import type {MemberLinkFactory} from '../ports/member_link.js';
-import type {PrimaryPromoter} from '../ports/primary_orders.js';
+import type {PrimaryPromoter} from '../ports/primary_promoter.js';
 import type {
   Readiness,
   ReadinessEndpoint,
--- a/packages/gateway/src/database/lease_refusals.ts
+++ b/packages/gateway/src/database/checkout_refusals.ts
@@ -1,5 +1,5 @@
 import type {PrimaryLeaseDecision} from '@pistachiorill/core';
-import type {CheckoutRefusal} from './lease.js';
+import type {CheckoutRefusal} from './checkout.js';
 import type {PoolRefusal} from './member_pool.js';
 
 /** How soon a caller may retry a refused statement. */
--- a/packages/gateway/src/database/database_message.ts
+++ b/packages/gateway/src/database/database_message.ts
@@ -8,7 +8,7 @@
 import type {Reply} from '@pistachiorill/tasks';
 import type {ListedMember} from '../ports/member_directory.js';
 import type {LinkFault, MemberStatus} from '../ports/member_link.js';
-import type {Checkout, CheckoutRefusal, CheckoutRequest} from './lease.js';
+import type {Checkout, CheckoutRefusal, CheckoutRequest} from './checkout.js';
 import type {ResponseInfo, MemberConnection} from './member_connection.js';
 
 /** The status that a member reported, or why none was received. */
--- a/packages/gateway/src/database/database_task.ts
+++ b/packages/gateway/src/database/database_task.ts
@@ -15,14 +15,14 @@
   StatusResult,
   StopMode,
 } from './database_message.js';
-import type {DatabaseDependencies} from './database_tools.js';
-import type {Checkout, CheckoutRefusal, CheckoutRequest} from './lease.js';
-import {checkoutRefusal, poolRefusal} from './lease_refusals.js';
+import type {DatabaseDependencies} from './database_dependencies.js';
+import type {Checkout, CheckoutRefusal, CheckoutRequest} from './checkout.js';
+import {checkoutRefusal, poolRefusal} from './checkout_refusals.js';
 import {MemberConnection} from './member_connection.js';
 import {MemberTable} from './member_table.js';
 import {placeStatement} from './place_statement.js';
 import type {Placement} from './place_statement.js';
-import {PendingPrimaryStops} from './primary_stops.js';
+import {PendingPrimaryStops} from './pending_primary_stops.js';
 
 const TICK_MS = 50;
 
--- a/packages/gateway/src/database/member_table.ts
+++ b/packages/gateway/src/database/member_table.ts
@@ -8,7 +8,7 @@
 import type {LinkFault} from '../ports/member_link.js';
 import {WarmupLimit} from './warmup_limit.js';
 import type {GroupView} from './database_message.js';
-import type {CheckoutRequest} from './lease.js';
+import type {CheckoutRequest} from './checkout.js';
 import type {ResponseInfo, MemberConnection} from './member_connection.js';
 import {
   INITIAL_MEMBER_HEALTH,
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -12,7 +12,10 @@
 export type {ListedMember} from './ports/member_directory.js';
 export {MemberLink, MemberLinkFactory} from './ports/member_link.js';
 export type * from './ports/member_link.js';
-export {PrimaryPromoter} from './ports/primary_orders.js';
-export type {PromotionError, PromotionRequest} from './ports/primary_orders.js';
+export {PrimaryPromoter} from './ports/primary_promoter.js';
+export type {
+  PromotionError,
+  PromotionRequest,
+} from './ports/primary_promoter.js';
 export {ReadinessEndpoint} from './ports/readiness_endpoint.js';
 export type {Readiness} from './ports/readiness_endpoint.js';
--- a/packages/gateway/src/leadership/__tests__/move.test.ts
+++ b/packages/gateway/src/leadership/__tests__/primary_change.test.ts
@@ -6,11 +6,11 @@
   SuspicionOutcome,
 } from '@pistachiorill/core';
 import {PeerSet} from '../../peers/peer_set.js';
-import {PrimaryPromoter} from '../../ports/primary_orders.js';
+import {PrimaryPromoter} from '../../ports/primary_promoter.js';
 import type {
   PromotionError,
   PromotionRequest,
-} from '../../ports/primary_orders.js';
+} from '../../ports/primary_promoter.js';
 import {decodeRows} from '../../fleet/fleet_rows.js';
 import type {FleetView} from '../../fleet/fleet_view.js';
 import {
@@ -19,7 +19,7 @@
   silentLogger,
 } from '../../testing/fake_group.js';
 import {FakeStore} from '../../testing/fake_store.js';
-import {PrimaryChange} from '../move.js';
+import {PrimaryChange} from '../primary_change.js';
 
 type OrderFaultMode = 'done' | 'rejected-once' | 'answer-lost-once';
 
--- a/packages/gateway/src/leadership/leadership_task.ts
+++ b/packages/gateway/src/leadership/leadership_task.ts
@@ -18,11 +18,11 @@
 import {COORDINATOR_LEASE_KEY, leadershipKey} from '../fleet/fleet_rows.js';
 import {isStoreResponsive, isProven} from '../fleet/fleet_view.js';
 import type {ListedMember} from '../ports/member_directory.js';
-import {PrimaryChange} from './move.js';
+import {PrimaryChange} from './primary_change.js';
 import type {
   PrimaryChangeOutcome,
   PrimaryChangeDependencies,
-} from './move_tools.js';
+} from './primary_change_dependencies.js';
 
 /** How often all groups are checked for a needed primary change. */
 const REVIEW_INTERVAL_MS = 250;
--- a/packages/gateway/src/leadership/move.ts
+++ b/packages/gateway/src/leadership/primary_change.ts
@@ -17,9 +17,9 @@
   PrimaryChangeOutcome,
   PrimaryChangeRequest,
   PrimaryChangeDependencies,
-} from './move_tools.js';
-import {PrimaryStopper} from './vm_stops.js';
-import type {ChangeAnnouncement} from './vm_stops.js';
+} from './primary_change_dependencies.js';
+import {PrimaryStopper} from './primary_stopper.js';
+import type {ChangeAnnouncement} from './primary_stopper.js';
 
 const STATUS_INTERVAL_MS = 60;
 const ORDER_TIMEOUT_MS = 1_000;
--- a/packages/gateway/src/leadership/move_tools.ts
+++ b/packages/gateway/src/leadership/primary_change_dependencies.ts
@@ -14,7 +14,7 @@
 import type {FleetView} from '../fleet/fleet_view.js';
 import type {PeerSet} from '../peers/peer_set.js';
 import type {ListedMember} from '../ports/member_directory.js';
-import type {PrimaryPromoter} from '../ports/primary_orders.js';
+import type {PrimaryPromoter} from '../ports/primary_promoter.js';
 
 /** A primary change to carry out: the group, its former primary and why. */
 export interface PrimaryChangeRequest {
--- a/packages/gateway/src/leadership/vm_stops.ts
+++ b/packages/gateway/src/leadership/primary_stopper.ts
@@ -9,7 +9,7 @@
 import type {
   PrimaryChangeRequest,
   PrimaryChangeDependencies,
-} from './move_tools.js';
+} from './primary_change_dependencies.js';
 
 /** How often VMs that have not answered are asked again to stop. */
 const STOP_RETRY_MS = 150;
--- a/packages/gateway/src/session/open_transaction.ts
+++ b/packages/gateway/src/session/open_transaction.ts
@@ -9,7 +9,7 @@
 import type {Clock} from '@pistachiorill/tasks';
 import type {CheckoutValidity} from '../database/database_message.js';
 import type {DatabaseTask} from '../database/database_task.js';
-import type {Checkout} from '../database/lease.js';
+import type {Checkout} from '../database/checkout.js';
 import type {JobFault, JobResult} from '../database/member_connection.js';
 import type {SessionRefusal} from '../ports/caller_link.js';
 import type {MemberAnswer, MemberCommand} from '../ports/member_link.js';
--- a/packages/gateway/src/session/place_filter.ts
+++ b/packages/gateway/src/session/place_filter.ts
@@ -9,7 +9,7 @@
   Checkout,
   CheckoutRequirement,
   CheckoutRefusal,
-} from '../database/lease.js';
+} from '../database/checkout.js';
 import type {JobFault, JobResult} from '../database/member_connection.js';
 import type {SessionRefusal} from '../ports/caller_link.js';
 import type {MemberAnswer} from '../ports/member_link.js';
--- a/packages/launcher/src/fleet.ts
+++ b/packages/launcher/src/fleet.ts
@@ -13,11 +13,11 @@
   NoVmReports,
   promoteDocument,
 } from '@pistachiorill/store';
-import {ProgramProcess} from './child.js';
+import {ProgramProcess} from './program_process.js';
 import {findFreePorts} from './free_ports.js';
 import type {Profile} from './profile.js';
-import {databaseNames, memberName, renderDocument} from './write_document.js';
-import type {DocumentChanges} from './write_document.js';
+import {databaseNames, memberName, renderDocument} from './render_document.js';
+import type {DocumentChanges} from './render_document.js';
 
 const PLATFORM_TIMEOUT_MS = 2_000;
 const PROMOTION_TIMEOUT_MS = 10_000;
--- a/packages/mysql/src/__tests__/backend_connection.test.ts
+++ b/packages/mysql/src/__tests__/backend_connection.test.ts
@@ -2,7 +2,7 @@
 import type {Result, StatementResult} from '@pistachiorill/core';
 import {BackendConnection} from '../backend_connection.js';
 import type {BackendError} from '../backend_error.js';
-import {MysqlServer} from '../server.js';
+import {MysqlServer} from '../mysql_server.js';
 import {ServerConnection} from '../server_connection.js';
 
 type Answer = (connection: ServerConnection, sql: string) => void;
--- a/packages/mysql/src/index.ts
+++ b/packages/mysql/src/index.ts
@@ -5,7 +5,7 @@
 export type {BackendError} from './backend_error.js';
 export {GroupControl} from './group_control.js';
 export {matchesVerifier, computeVerifier} from './native_password.js';
-export {MysqlServer} from './server.js';
+export {MysqlServer} from './mysql_server.js';
 export {ServerConnection} from './server_connection.js';
 export type {
   ClientError,
--- a/packages/peers/src/__tests__/peer_client.test.ts
+++ b/packages/peers/src/__tests__/peer_client.test.ts
@@ -4,7 +4,7 @@
 import {PeerClient} from '../peer_client.js';
 import {PeerHandlers} from '../peer_handlers.js';
 import {PeerServer} from '../peer_server.js';
-import {servedPeerRouter} from '../served_peers.js';
+import {servedPeerRouter} from '../served_peer_router.js';
 
 class FakeHandlers extends PeerHandlers {
   override probe = async (gossip: Parameters<PeerHandlers['probe']>[0]) =>
--- a/packages/peers/src/call_peer.ts
+++ b/packages/peers/src/call_peer.ts
@@ -1,7 +1,7 @@
 import {fail, ok} from '@pistachiorill/core';
 import type {Result} from '@pistachiorill/core';
 import {TRPCClientError} from '@trpc/client';
-import {TransportError} from './http_call.js';
+import {TransportError} from './http_request.js';
 import type {PeerError} from './peer_error.js';
 
 /** The timeout of a call, and a signal that may abort it earlier. */
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -2,11 +2,11 @@
 export {PeerClient} from './peer_client.js';
 export {callPeer} from './call_peer.js';
 export type {CallOptions} from './call_peer.js';
-export type {ServedRouter} from './http_adapter.js';
-export {TransportError, sendHttpRequest} from './http_call.js';
-export type {HttpResponse} from './http_call.js';
+export type {ServedRouter} from './peer_http_server.js';
+export {TransportError, sendHttpRequest} from './http_request.js';
+export type {HttpResponse} from './http_request.js';
 export {peerLink} from './peer_link.js';
-export {servedPeerRouter} from './served_peers.js';
+export {servedPeerRouter} from './served_peer_router.js';
 export type {PeerError} from './peer_error.js';
 export {PeerHandlers} from './peer_handlers.js';
 export type {PeerRouter} from './peer_router.js';
--- a/packages/peers/src/peer_link.ts
+++ b/packages/peers/src/peer_link.ts
@@ -4,7 +4,7 @@
 import type {AnyRouter} from '@trpc/server';
 import {observable} from '@trpc/server/observable';
 import type {TRPCResultMessage} from '@trpc/server/rpc';
-import {postRequest} from './http_call.js';
+import {postRequest} from './http_request.js';
 
 type ResponseBody =
   | {readonly result: TRPCResultMessage<unknown>['result']}
--- a/packages/peers/src/peer_server.ts
+++ b/packages/peers/src/peer_server.ts
@@ -1,7 +1,7 @@
 import type {Server} from 'node:http';
 import type {Socket} from 'node:net';
-import {createPeerHttpServer} from './http_adapter.js';
-import type {ServedRouter} from './http_adapter.js';
+import {createPeerHttpServer} from './peer_http_server.js';
+import type {ServedRouter} from './peer_http_server.js';
 
 /**
  * Longer than the idle timeout of `PeerClient`, so that the client closes first
--- a/packages/peers/src/served_peers.ts
+++ b/packages/peers/src/served_peer_router.ts
@@ -1,4 +1,4 @@
-import type {ServedRouter} from './http_adapter.js';
+import type {ServedRouter} from './peer_http_server.js';
 import type {PeerHandlers} from './peer_handlers.js';
 import {PEER_ROUTER} from './peer_router.js';
 
--- a/packages/store/src/http_table_service.ts
+++ b/packages/store/src/http_table_service.ts
@@ -1,7 +1,7 @@
 import {fail, ok} from '@pistachiorill/core';
 import type {Result} from '@pistachiorill/core';
-import {sendHttpRequest} from './http_call.js';
-import type {PlatformEndpoint} from './http_call.js';
+import {sendHttpRequest} from './http_request.js';
+import type {PlatformEndpoint} from './http_request.js';
 import {ROWS_SCHEMA, ROW_SCHEMA} from './platform_api.js';
 import type {PlatformError} from './platform_error.js';
 import {TableService} from './table_service.js';
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,5 +1,5 @@
 /** Clients for the platform's table service, object store and VM list. */
-export type {PlatformEndpoint} from './http_call.js';
+export type {PlatformEndpoint} from './http_request.js';
 export {HttpObjectStore} from './http_object_store.js';
 export {HttpTableService} from './http_table_service.js';
 export {HttpVmList} from './http_vm_list.js';
--- a/packages/store/src/read_vm_statuses.ts
+++ b/packages/store/src/read_vm_statuses.ts
@@ -1,4 +1,4 @@
-import {sendHttpRequest} from './http_call.js';
+import {sendHttpRequest} from './http_request.js';
 import type {ListedVm, VmList} from './vm_list.js';
 import {VM_STATUS_SCHEMA} from './vm_status.js';
 import type {VmStatus} from './vm_status.js';
