--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -93,7 +93,7 @@
 export * from './quota/transfer/decide_transfer.js';
 export * from './quota/transfer/share_table.js';
 export * from './quota/transfer/token_bucket.js';
-export * from './quota/transfer/rate_holders.js';
+export * from './quota/transfer/workspace_homes.js';
 export * from './routing/position_samples.js';
 export * from './routing/rank_members.js';
 export * from './sessions/conclude_attempt.js';
--- a/packages/core/src/leadership/__tests__/evaluate_suspicion.test.ts
+++ b/packages/core/src/leadership/__tests__/suspicion.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
-import {evaluateSuspicion} from '../evaluate_suspicion.js';
-import type {PrimaryObservation} from '../evaluate_suspicion.js';
+import {evaluateSuspicion} from '../suspicion.js';
+import type {PrimaryObservation} from '../suspicion.js';
 
 type View = PrimaryObservation | 'vm-down';
 
--- a/packages/core/src/leadership/index.ts
+++ b/packages/core/src/leadership/index.ts
@@ -2,5 +2,5 @@
 export type * from './leadership_record.js';
 export * from './primary_lease.js';
 export * from './store_clock.js';
-export * from './evaluate_suspicion.js';
+export * from './suspicion.js';
 export * from './coordinator_lease.js';
--- a/packages/core/src/quota/transfer/__tests__/rate_holders.test.ts
+++ b/packages/core/src/quota/transfer/__tests__/rate_holders.test.ts
@@ -2,7 +2,7 @@
 import {FULL_SHARE_PPM} from '../../quota_limits.js';
 import {initialShares} from '../share_table.js';
 import type {ShareTable} from '../share_table.js';
-import {rateHolderSharePpm, rateHoldersOf} from '../rate_holders.js';
+import {rateHolderSharePpm, rateHoldersOf} from '../workspace_homes.js';
 
 function fleet(size: number): ShareTable {
   return initialShares(Array.from({length: size}, (unused, i) => `vm-${i}`));
--- a/packages/core/src/quota/transfer/__tests__/share_table.test.ts
+++ b/packages/core/src/quota/transfer/__tests__/share_table.test.ts
@@ -3,7 +3,7 @@
 import {FULL_SHARE_PPM} from '../../quota_limits.js';
 import {initialShares, isRevoked, nextShares} from '../share_table.js';
 import type {ShareTable} from '../share_table.js';
-import {rateHolderSharePpm, rateHoldersOf} from '../rate_holders.js';
+import {rateHolderSharePpm, rateHoldersOf} from '../workspace_homes.js';
 
 const EXPIRY_MS = 10_000;
 
--- a/packages/gateway/src/database/database_task.ts
+++ b/packages/gateway/src/database/database_task.ts
@@ -15,9 +15,9 @@
   StatusResult,
   StopMode,
 } from './database_message.js';
-import type {DatabaseDependencies} from './database_dependencies.js';
+import type {DatabaseDependencies} from './database_tools.js';
 import type {Checkout, CheckoutRefusal, CheckoutRequest} from './checkout.js';
-import {checkoutRefusal, poolRefusal} from './checkout_refusals.js';
+import {checkoutRefusal, poolRefusal} from './lease_refusals.js';
 import {MemberConnection} from './member_connection.js';
 import {MemberTable} from './member_table.js';
 import {placeStatement} from './place_statement.js';
--- a/packages/gateway/src/database/place_statement.ts
+++ b/packages/gateway/src/database/place_statement.ts
@@ -13,7 +13,7 @@
   Result,
 } from '@pistachiorill/core';
 import type {Checkout, CheckoutRefusal, CheckoutRequest} from './checkout.js';
-import {checkoutRefusal, primaryLeaseRefusal} from './checkout_refusals.js';
+import {checkoutRefusal, primaryLeaseRefusal} from './lease_refusals.js';
 import type {MemberTable} from './member_table.js';
 
 /** Subtracted from the maximum age, as a statement waits before it runs. */
