--- a/packages/core/src/authority/authority_state.ts
+++ b/packages/core/src/authority/authority_state.ts
@@ -9,7 +9,11 @@
  */
 export const RECLAIM_WAIT_MS = PROOF_VALIDITY_MS * 1.1;
 
-/** A proof that no change above `versions` had completed at time `at`. */
+/**
+ * A proof that no change above `versions` had completed at time `at`. A VM
+ * obtains it (a) by reading both rows from the store, (b) from the answer of a
+ * peer that has a proof, or (c) from the answers of a majority.
+ */
 export interface ConfirmationProof {
   readonly at: number;
   readonly versions: RowVersions;
--- a/packages/core/src/authority/decide_authority.ts
+++ b/packages/core/src/authority/decide_authority.ts
@@ -103,9 +103,8 @@
 }
 
 /**
- * Proofs (b) and (c). Proof (b) is relayed by a peer. Its age is subtracted from
- * the time at which the probe was sent, since the transit time of the answer is
- * unknown.
+ * Proofs (b) and (c). The age of the peer's proof is subtracted from the time at
+ * which the probe was sent, since the transit time of the answer is unknown.
  */
 function applyAnswer(
   state: AuthorityState,
--- a/packages/core/src/authority/proof_probe_targets.ts
+++ b/packages/core/src/authority/proof_probe_targets.ts
@@ -4,7 +4,7 @@
 /** A VM sends extra probes when its newest proof is older than this. */
 const PROOF_REFRESH_AGE_MS = 2_000;
 
-/** Bounds the probe traffic of a VM that cannot reach the store. */
+/** The most VMs to probe per call; bounds the traffic during a store outage. */
 const MAX_PROBES = 16;
 
 /** The number of calls within which a majority is probed. */
--- a/packages/core/src/configuration/configuration_row.ts
+++ b/packages/core/src/configuration/configuration_row.ts
@@ -15,7 +15,7 @@
   readonly basedOn: number;
   /** The operation that wrote the row. */
   readonly operationId: string;
-  /** Who promoted the document; shown to the loser of a conflict. */
+  /** Who promoted the document; shown to an operator whose promotion conflicts. */
   readonly actor: string;
   /** Operation ids of the previous versions, the latest first. */
   readonly recent: readonly string[];
--- a/packages/core/src/configuration/promotion_machine.ts
+++ b/packages/core/src/configuration/promotion_machine.ts
@@ -174,7 +174,7 @@
     kind: state.result,
     version: state.version,
     vms: reports,
-    rollout: rollout,
+    rollout,
   });
 }
 
--- a/packages/core/src/failover/__fixtures__/fake_fleet.ts
+++ b/packages/core/src/failover/__fixtures__/fake_fleet.ts
@@ -102,7 +102,7 @@
       vm: name,
       dataCentre,
       owner: name,
-      moveGraceMs: SWITCHOVER_GRACE_MS,
+      switchoverGraceMs: SWITCHOVER_GRACE_MS,
     };
     this.state = {
       ...initialFailoverState(identity),
@@ -110,7 +110,7 @@
       members: members.map(member => ({
         backendServer: member.name,
         address: member.name,
-        standing: 'allowed',
+        eligibility: 'allowed',
       })),
     };
   }
@@ -205,7 +205,7 @@
       if (late !== (when === 'late')) continue;
       const members = vm.state.members.map(member =>
         member.backendServer === 'm1'
-          ? {...member, standing: 'leaving' as const}
+          ? {...member, eligibility: 'leaving' as const}
           : member,
       );
       this.send(vm, {kind: 'configured', members, dataCentresInService: 3});
--- a/packages/core/src/failover/advance_attempt.ts
+++ b/packages/core/src/failover/advance_attempt.ts
@@ -114,8 +114,8 @@
   if (own && row.term === attempt.term) {
     return {...attempt, row: 'finished', rowVersion: version};
   }
-  // Another VM has claimed or finished a term that this VM had not seen, and
-  // has not been given time to finish yet.
+  // Another VM has claimed or finished a term that this VM had not seen. Its
+  // attempt gets time to finish, unless this VM has already waited for it.
   if (
     row &&
     !own &&
--- a/packages/core/src/failover/attempt.ts
+++ b/packages/core/src/failover/attempt.ts
@@ -37,7 +37,7 @@
   readonly backendServer: string;
   /** Where the other members replicate from when it is primary. */
   readonly address: string;
-  readonly standing: PrimaryEligibility;
+  readonly eligibility: PrimaryEligibility;
 }
 
 /** The value of the store's row that serialises and records attempts. */
@@ -75,7 +75,7 @@
   readonly row: RowStep;
   /** The version of the claim row that was last read or written. */
   readonly rowVersion: number;
-  /** Version of another VM's claim that was given time to finish. */
+  /** As in `FailoverState.awaitedClaimVersion` when the attempt started. */
   readonly awaitedClaimVersion: number;
   /** The end of the log of each fenced member, by name of the member. */
   readonly fenced: Readonly<Record<string, LogPosition>>;
--- a/packages/core/src/failover/choose_candidate.ts
+++ b/packages/core/src/failover/choose_candidate.ts
@@ -15,7 +15,7 @@
   const preference = (name: string): number => {
     const member = members.find(item => item.backendServer === name);
     return (
-      (member?.standing === 'allowed' ? 4 : 0) +
+      (member?.eligibility === 'allowed' ? 4 : 0) +
       (reachable.includes(name) ? 2 : 0) +
       (name === formerPrimary ? 1 : 0)
     );
--- a/packages/core/src/failover/decide_failover.ts
+++ b/packages/core/src/failover/decide_failover.ts
@@ -142,8 +142,7 @@
   view: GroupView,
   now: number,
 ): FailoverState {
-  let {highestFencedTerm: highestFencedTerm, noAttemptBefore: noAttemptBefore} =
-    state;
+  let {highestFencedTerm, noAttemptBefore} = state;
   for (const {state: member} of view.members) {
     if (!member || member.fencedTerm <= highestFencedTerm) continue;
     highestFencedTerm = member.fencedTerm;
@@ -151,11 +150,7 @@
       noAttemptBefore = Math.max(noAttemptBefore, now + TAKEOVER_DELAY_MS);
     }
   }
-  return {
-    ...state,
-    highestFencedTerm: highestFencedTerm,
-    noAttemptBefore: noAttemptBefore,
-  };
+  return {...state, highestFencedTerm, noAttemptBefore};
 }
 
 /**
@@ -201,7 +196,7 @@
   if (assessment.kind === 'majority-unreachable') return 'clear';
   const {backendServer} = assessment.primary;
   const leaving = state.members.some(
-    m => m.backendServer === backendServer && m.standing === 'leaving',
+    m => m.backendServer === backendServer && m.eligibility === 'leaving',
   );
   if (leaving) return 'move';
   const moveReports = unexpiredReports(
@@ -210,8 +205,10 @@
     assessment.term,
     now,
   );
-  const othersReport = moveReports.some(({report}) => report.vm !== state.vm);
-  return othersReport && observation.transactions > 0 ? 'busy' : 'clear';
+  const reportedByOthers = moveReports.some(
+    ({report}) => report.vm !== state.vm,
+  );
+  return reportedByOthers && observation.transactions > 0 ? 'busy' : 'clear';
 }
 
 /**
@@ -246,7 +243,7 @@
       state.members,
       [...reports, ...busyReports],
       waitedMs,
-      state.moveGraceMs,
+      state.switchoverGraceMs,
     );
     return decision === 'ready' ? 'planned-move' : undefined;
   }
@@ -332,8 +329,9 @@
 }
 
 /**
- * Stores an attempt. One that has ended is removed, and its term, the earliest
- * time of the next attempt and the version of another VM's claim are kept.
+ * Stores an attempt in the state. An attempt that has ended is removed: the
+ * state keeps its term, delays the next attempt and, if another VM's claim ended
+ * it, keeps the version of that claim.
  */
 function storeAttempt(
   state: FailoverState,
@@ -346,7 +344,7 @@
     return {state: {...state, highestOwnTerm, attempt}, actions: []};
   }
   const claimedByOther = attempt.abandoned === 'claimed-by-other';
-  const pauseMs =
+  const delayMs =
     claimedByOther || attempt.phase === 'done'
       ? TAKEOVER_DELAY_MS
       : random.integer(BACKOFF_MIN_MS, BACKOFF_MAX_MS);
@@ -355,7 +353,7 @@
       ...state,
       highestOwnTerm,
       attempt: undefined,
-      noAttemptBefore: Math.max(state.noAttemptBefore, now + pauseMs),
+      noAttemptBefore: Math.max(state.noAttemptBefore, now + delayMs),
       awaitedClaimVersion: claimedByOther
         ? attempt.rowVersion
         : state.awaitedClaimVersion,
--- a/packages/core/src/failover/decide_switchover.ts
+++ b/packages/core/src/failover/decide_switchover.ts
@@ -24,7 +24,9 @@
   waitedMs: number,
   graceMs: number,
 ): SwitchoverDecision {
-  const eligibility = new Map(members.map(m => [m.backendServer, m.standing]));
+  const eligibility = new Map(
+    members.map(m => [m.backendServer, m.eligibility]),
+  );
   if (eligibility.get(primary.backendServer) !== 'leaving') return 'none';
   const allowed = view.members.filter(
     member =>
--- a/packages/core/src/failover/failover_state.ts
+++ b/packages/core/src/failover/failover_state.ts
@@ -23,7 +23,7 @@
    * How long a switchover waits for the statements and transactions that run on
    * the primary. It equals the time after which a VM ends an idle transaction.
    */
-  readonly moveGraceMs: number;
+  readonly switchoverGraceMs: number;
   /** The last report of each VM, this one included, by name of the VM. */
   readonly reports: ReceivedReports;
   /** When this VM last sent its own report. */
@@ -37,11 +37,11 @@
   /** The highest term that an attempt of this VM has used. */
   readonly highestOwnTerm: number;
   /**
-   * Version of another VM's claim that this VM has already given time to
-   * finish; 0 if there is none.
+   * Version of another VM's claim for which this VM has already delayed its
+   * own attempt; 0 if there is none.
    */
   readonly awaitedClaimVersion: number;
-  /** When each member was last ordered to follow, by name of the member. */
+  /** When each member was last ordered to follow the primary, by name. */
   readonly ordered: Readonly<Record<string, number>>;
   /** The attempt of this VM that is in progress. */
   readonly attempt?: Attempt;
@@ -87,7 +87,7 @@
 export function initialFailoverState(
   identity: Pick<
     FailoverState,
-    'database' | 'vm' | 'dataCentre' | 'owner' | 'moveGraceMs'
+    'database' | 'vm' | 'dataCentre' | 'owner' | 'switchoverGraceMs'
   >,
 ): FailoverState {
   return {
--- a/packages/core/src/leadership/choose_successor.ts
+++ b/packages/core/src/leadership/choose_successor.ts
@@ -54,14 +54,14 @@
  * an acknowledged commit may be on a single member besides the primary, so all
  * members must have reported.
  */
-export function chooseSuccessor(situation: SuccessorInput): SuccessorChoice {
-  const {reports, required, waitedMs} = situation;
-  const promoted = findPromotedMember(situation);
+export function chooseSuccessor(input: SuccessorInput): SuccessorChoice {
+  const {reports, required, waitedMs} = input;
+  const promoted = findPromotedMember(input);
   if (promoted) return {kind: 'already', member: promoted.member};
   const best = [...reports].sort(comparePreference)[0];
   if (!best) return {kind: 'wait', reason: 'no-report'};
-  if (reports.length < situation.listedCount) {
-    const needsAllReports = situation.synchronousReplicas > 0;
+  if (reports.length < input.listedCount) {
+    const needsAllReports = input.synchronousReplicas > 0;
     if (needsAllReports || waitedMs < REPORT_WAIT_MS) {
       return {kind: 'wait', reason: 'not-all-reported'};
     }
--- a/packages/core/src/leadership/suspicion.ts
+++ b/packages/core/src/leadership/suspicion.ts
@@ -15,16 +15,19 @@
  * registered, because a refused connection may also come from a partition.
  */
 export function evaluateSuspicion(
-  views: ReadonlyArray<PrimaryObservation | 'vm-down'>,
+  observations: ReadonlyArray<PrimaryObservation | 'vm-down'>,
 ): SuspicionOutcome {
-  const runningViews = views.filter(view => view !== 'vm-down');
-  const unreachableCount = runningViews.filter(
-    view => view === 'unreachable',
+  const runningVmObservations = observations.filter(item => item !== 'vm-down');
+  const unreachableCount = runningVmObservations.filter(
+    item => item === 'unreachable',
   ).length;
-  const reachableCount = runningViews.filter(
-    view => view === 'reachable',
+  const reachableCount = runningVmObservations.filter(
+    item => item === 'reachable',
   ).length;
-  const quorum = Math.max(Math.min(2, views.length), runningViews.length / 2);
+  const quorum = Math.max(
+    Math.min(2, observations.length),
+    runningVmObservations.length / 2,
+  );
   return unreachableCount >= quorum && unreachableCount > reachableCount
     ? 'replace'
     : 'keep';
--- a/packages/core/src/membership/__tests__/decide_membership.test.ts
+++ b/packages/core/src/membership/__tests__/decide_membership.test.ts
@@ -28,7 +28,7 @@
   incarnation: number,
   ...changes: MembershipChange[]
 ): MembershipEvent {
-  return {kind: 'heard', from: peer(from), incarnation, changes};
+  return {kind: 'contact', from: peer(from), incarnation, changes};
 }
 
 /** Applies events at the given times and summarises the outcome. */
--- a/packages/core/src/membership/decide_membership.ts
+++ b/packages/core/src/membership/decide_membership.ts
@@ -42,7 +42,7 @@
     }
   /** A peer sent or answered a probe, with its incarnation and changes. */
   | {
-      readonly kind: 'heard';
+      readonly kind: 'contact';
       readonly from: PeerRecord;
       readonly incarnation: number;
       readonly changes: readonly MembershipChange[];
@@ -87,7 +87,7 @@
           event.outcome === 'reached' ? state : suspect(state, event.vm, now),
         actions: [],
       };
-    case 'heard':
+    case 'contact':
       return {state: recordContact(state, event, now), actions: []};
     case 'listed':
       return {state: updateCandidates(state, event.peers), actions: []};
@@ -222,8 +222,8 @@
 }
 
 /**
- * Evicts VMs that have been down or gone for long. They would accumulate, since
- * each replacement VM has a new name.
+ * Evicts VMs that have been down or have left for `EVICT_AFTER_MS`. Otherwise
+ * they would accumulate, since each replacement VM has a new name.
  */
 function evictEnded(state: MembershipState, now: number): MembershipState {
   const peers = new Map(
@@ -240,7 +240,7 @@
 /** Records that a peer is alive, and merges the changes that it sent. */
 function recordContact(
   state: MembershipState,
-  event: Extract<MembershipEvent, {kind: 'heard'}>,
+  event: Extract<MembershipEvent, {kind: 'contact'}>,
   now: number,
 ): MembershipState {
   const contact: MembershipChange = {
--- a/packages/core/src/quota/borrow.ts
+++ b/packages/core/src/quota/borrow.ts
@@ -149,7 +149,7 @@
   };
 }
 
-/** Renews the share loans that the VM's demand still needs. */
+/** Requests the renewal of share loans that the VM's demand still needs. */
 function renewals(
   state: TokenAccount,
   context: BorrowContext,
@@ -172,7 +172,9 @@
       continue;
     }
     const {loanId} = loan;
-    sent.push(request(context, loan.lender, now, {kind: 'renewal', loanId}));
+    sent.push(
+      createRequest(context, loan.lender, now, {kind: 'renewal', loanId}),
+    );
   }
   return sent;
 }
@@ -201,14 +203,17 @@
     (FULL_SHARE_PPM / (context.peers.length + 1)) * MIN_SHARE_REQUEST_FRACTION,
   );
   if (missingPpm < minRequestPpm || slots <= 0) return [];
-  const lenders = candidates(state, context, 'share', now).slice(0, slots);
+  const lenders = lenderCandidates(state, context, 'share', now).slice(
+    0,
+    slots,
+  );
   if (lenders.length === 0) return [];
   const ratePpm = Math.max(
     minRequestPpm,
     Math.ceil(missingPpm / lenders.length),
   );
   return lenders.map(({peer}) =>
-    request(context, peer, now, {kind: 'share', ratePpm}),
+    createRequest(context, peer, now, {kind: 'share', ratePpm}),
   );
 }
 
@@ -227,18 +232,18 @@
   let slots = MAX_PARALLEL_REQUESTS - pending.length;
   const sent: PendingLoan[] = [];
   if (context.waitingCount === 0) return sent;
-  for (const item of candidates(state, context, 'tokens', now)) {
+  for (const item of lenderCandidates(state, context, 'tokens', now)) {
     if (slots-- <= 0 || missingTokens < MIN_MISSING_TOKENS) break;
     // Tokens that are not spent would be lost at the end of the loan.
     const tokens = Math.min(missingTokens, item.expected);
     missingTokens -= tokens;
-    sent.push(request(context, item.peer, now, {kind: 'tokens', tokens}));
+    sent.push(createRequest(context, item.peer, now, {kind: 'tokens', tokens}));
   }
   return sent;
 }
 
 /** Returns the possible lenders, those with the most spare tokens first. */
-function candidates(
+function lenderCandidates(
   state: TokenAccount,
   context: BorrowContext,
   kind: 'share' | 'tokens',
@@ -290,11 +295,11 @@
   return Math.min(fullSpare, spare.tokens + refilled);
 }
 
-function request(
+function createRequest(
   context: BorrowContext,
   lender: string,
   now: number,
-  wanted: Pick<LoanRequest, 'kind'> & Partial<LoanRequest>,
+  fields: Pick<LoanRequest, 'kind'> & Partial<LoanRequest>,
 ): PendingLoan {
   return {
     lender,
@@ -305,7 +310,7 @@
       workspace: context.workspace,
       ratePpm: 0,
       tokens: 0,
-      ...wanted,
+      ...fields,
     },
   };
 }
--- a/packages/core/src/quota/decide_quota.ts
+++ b/packages/core/src/quota/decide_quota.ts
@@ -60,13 +60,13 @@
   now: number,
 ): QuotaDecision {
   const quota = state.workspaces.get(message.workspace);
-  const {ticket, deadline: until} = message;
+  const {ticket, deadline} = message;
   if (!quota) return {state, effects: [{kind: 'refused', ticket}]};
   const {account} = quota;
   const queued = withQuota(state, message.workspace, {
     ...quota,
     account: {...account, demand: afterArrival(account.demand, now)},
-    waiters: [...quota.waiters, {ticket, deadline: until}],
+    waiters: [...quota.waiters, {ticket, deadline}],
   });
   return admitWaiters(queued, message.workspace, random, now);
 }
--- a/packages/core/src/quota/transfer/__tests__/rate_holders.test.ts
+++ b/packages/core/src/quota/transfer/__tests__/rate_holders.test.ts
@@ -13,7 +13,7 @@
   return Object.keys(table).map(vm => rateHolderSharePpm(table, holders, vm));
 }
 
-describe('homesOf', () => {
+describe('rateHoldersOf', () => {
   // Guards against assigning a rate more than once, and against shares of less
   // than one token in a large fleet.
   it.each([1, 8, 12, 13, 70, 440])('splits a rate across %i VMs', size => {
--- a/packages/core/src/quota/transfer/share_table.ts
+++ b/packages/core/src/quota/transfer/share_table.ts
@@ -53,18 +53,18 @@
  */
 export function nextShares(
   table: ShareTable,
-  situation: FleetObservation,
+  observation: FleetObservation,
 ): ShareTable | undefined {
   const kept = Object.entries(table).flatMap(([vm, entry]) =>
-    nextEntries(vm, entry, situation),
+    nextEntries(vm, entry, observation),
   );
   const next = new Map(kept);
-  for (const vm of situation.lost) {
+  for (const vm of observation.lost) {
     if (!next.has(vm) && !table[vm]) {
-      next.set(vm, {ppm: 0, revokedAt: situation.at});
+      next.set(vm, {ppm: 0, revokedAt: observation.at});
     }
   }
-  distributeFreeShare(next, situation.present);
+  distributeFreeShare(next, observation.present);
   const result: ShareTable = Object.fromEntries(next);
   return areTablesEqual(table, result) ? undefined : result;
 }
--- a/packages/core/src/quota/transfer/token_bucket.ts
+++ b/packages/core/src/quota/transfer/token_bucket.ts
@@ -12,8 +12,8 @@
   readonly at: number;
   /** The exponentially weighted average of tokens requested per second. */
   readonly demandPerSecond: number;
-  /** The time of the demand estimate. */
-  readonly demandAt: number;
+  /** The time at which `demandPerSecond` was calculated. */
+  readonly demandUpdatedAt: number;
 }
 
 /** The time constant of the demand average. */
@@ -21,7 +21,7 @@
 
 /** Returns a bucket without tokens or demand. */
 export function emptyBucket(now: number): TokenBucket {
-  return {tokens: 0, at: now, demandPerSecond: 0, demandAt: now};
+  return {tokens: 0, at: now, demandPerSecond: 0, demandUpdatedAt: now};
 }
 
 /** Adds the tokens accrued up to `now`, up to the share's burst. */
@@ -51,12 +51,12 @@
   return {
     ...bucket,
     demandPerSecond: demandAt(bucket, now) + 1_000 / DEMAND_TIME_CONSTANT_MS,
-    demandAt: now,
+    demandUpdatedAt: now,
   };
 }
 
 /** Returns the demand at `now`. It decays while no tokens are requested. */
 export function demandAt(bucket: TokenBucket, now: number): number {
-  const age = Math.max(0, now - bucket.demandAt);
+  const age = Math.max(0, now - bucket.demandUpdatedAt);
   return bucket.demandPerSecond * Math.exp(-age / DEMAND_TIME_CONSTANT_MS);
 }
--- a/packages/core/src/retry/attempt_deadline.ts
+++ b/packages/core/src/retry/attempt_deadline.ts
@@ -1,6 +1,6 @@
 import type {Repeatability} from './decide_retry.js';
 
-/** The least time of an attempt, unless the statement's deadline is nearer. */
+/** The minimum duration of an attempt, unless the statement's deadline is earlier. */
 const MIN_ATTEMPT_MS = 100;
 
 /**
--- a/packages/core/src/retry/decide_retry.ts
+++ b/packages/core/src/retry/decide_retry.ts
@@ -35,6 +35,7 @@
     }
   | {
       readonly kind: 'give-up';
+      /** `deadline` also if the number of attempts has reached the limit. */
       readonly reason: 'not-retryable' | 'deadline' | 'budget';
     };
 
--- a/packages/core/src/routing/__tests__/age_bound.test.ts
+++ b/packages/core/src/routing/__tests__/age_bound.test.ts
@@ -34,7 +34,7 @@
 ];
 
 // Guards against an age bound that is too low, which allows stale reads.
-describe('ageBound', () => {
+describe('ageBoundMs', () => {
   it('uses the newest proven sample that the member has applied', () => {
     const ages = [4, 5, 7, 8, 9].map(position => [
       position,
--- a/packages/core/src/routing/__tests__/position_samples.test.ts
+++ b/packages/core/src/routing/__tests__/position_samples.test.ts
@@ -52,7 +52,7 @@
   avoidUntil: 0,
 };
 
-describe('rankForRead', () => {
+describe('rankMembersForRead', () => {
   // Guards against reads on members that are far, busy, behind or failing while
   // a better member is available.
   it('orders members by expected cost', () => {
--- a/packages/core/src/sessions/plan_preparation.ts
+++ b/packages/core/src/sessions/plan_preparation.ts
@@ -12,7 +12,6 @@
 }
 
 /** The session state on a new connection, or after a reset. */
-
 export const EMPTY_SESSION_STATE: ConnectionSessionState = {
   values: new Map(),
   preparedNames: new Set(),
@@ -35,13 +34,13 @@
  * so a value that the session does not have requires a reset.
  */
 export function planPreparation(
-  contents: ConnectionSessionState,
+  state: ConnectionSessionState,
   values: SessionValues,
   statement: PreparedStatement | undefined,
 ): readonly PreparationStep[] {
   const steps: PreparationStep[] = [];
-  let base = contents;
-  if ([...contents.values.keys()].some(name => !values.has(name))) {
+  let base = state;
+  if ([...state.values.keys()].some(name => !values.has(name))) {
     steps.push({kind: 'reset'});
     base = EMPTY_SESSION_STATE;
   }
@@ -59,7 +58,7 @@
 
 /** Returns the session state on the connection after a step has succeeded. */
 export function applyPreparationStep(
-  contents: ConnectionSessionState,
+  state: ConnectionSessionState,
   step: PreparationStep,
 ): ConnectionSessionState {
   switch (step.kind) {
@@ -67,13 +66,13 @@
       return EMPTY_SESSION_STATE;
     case 'set':
       return {
-        ...contents,
-        values: new Map(contents.values).set(step.name, step.value),
+        ...state,
+        values: new Map(state.values).set(step.name, step.value),
       };
     case 'prepare':
       return {
-        ...contents,
-        preparedNames: new Set(contents.preparedNames).add(step.name),
+        ...state,
+        preparedNames: new Set(state.preparedNames).add(step.name),
       };
   }
 }
--- a/packages/core/src/statement/classify_statement.ts
+++ b/packages/core/src/statement/classify_statement.ts
@@ -49,7 +49,7 @@
 /** The kind of a statement and its effect on data. */
 export interface ClassifiedStatement {
   readonly verb: StatementVerb;
-  /** Whether the statement can change data, judging by its keywords alone. */
+  /** Whether the statement can change data, according to its keywords alone. */
   readonly changesData: boolean;
 }
 
--- a/packages/entry/src/daemon/create_owned_group.ts
+++ b/packages/entry/src/daemon/create_owned_group.ts
@@ -98,9 +98,9 @@
   {settings, table, clock, log, sendReport, record}: OwnedGroupDependencies,
 ): FailoverTask {
   const {name: vm, data_centre: dataCentre} = settings.vm;
-  const moveGraceMs = settings.limits.transaction_idle_ms;
+  const switchoverGraceMs = settings.limits.transaction_idle_ms;
   return new FailoverTask(
-    {database, vm, dataCentre, moveGraceMs},
+    {database, vm, dataCentre, switchoverGraceMs},
     {
       group,
       table,
--- a/packages/entry/src/failover/__tests__/failover_task.test.ts
+++ b/packages/entry/src/failover/__tests__/failover_task.test.ts
@@ -87,7 +87,12 @@
     },
   };
   const task = new FailoverTask(
-    {database: 'ledger', vm: 'v1', dataCentre: 'dc0', moveGraceMs: 30_000},
+    {
+      database: 'ledger',
+      vm: 'v1',
+      dataCentre: 'dc0',
+      switchoverGraceMs: 30_000,
+    },
     {
       group: new FakeGroup(note) as unknown as GroupTask,
       table: table as unknown as TableService,
--- a/packages/entry/src/failover/failover_task.ts
+++ b/packages/entry/src/failover/failover_task.ts
@@ -43,7 +43,7 @@
 /** The VM and the database of the group that a failover task acts for. */
 export type FailoverIdentity = Pick<
   FailoverState,
-  'database' | 'vm' | 'dataCentre' | 'moveGraceMs'
+  'database' | 'vm' | 'dataCentre' | 'switchoverGraceMs'
 >;
 
 /** The collaborators of a failover task. */
@@ -98,7 +98,7 @@
           members: message.servers.map(server => ({
             backendServer: server.name,
             address: server.address,
-            standing: server.state === 'in-service' ? 'allowed' : 'leaving',
+            eligibility: server.state === 'in-service' ? 'allowed' : 'leaving',
           })),
           dataCentresInService: message.dataCentresInService,
         });
--- a/packages/entry/src/membership/membership_task.ts
+++ b/packages/entry/src/membership/membership_task.ts
@@ -263,7 +263,7 @@
     const {vm, dataCentre} = gossip.from;
     this.discovery = 'done';
     this.decide({
-      kind: 'heard',
+      kind: 'contact',
       from: gossip.from,
       incarnation: gossip.incarnation,
       changes: gossip.changes,
