--- a/packages/core/src/authority/__tests__/confirmation_limit.test.ts
+++ b/packages/core/src/authority/__tests__/confirmation_limit.test.ts
@@ -15,7 +15,7 @@
 const STEPS = 600;
 
 /** Simulated VMs with separate clocks that read rows and probe each other. */
-class Model {
+class AuthoritySimulation {
   private readonly random: Random;
   private readonly states: AuthorityState[];
   private readonly offsets: number[];
@@ -191,7 +191,7 @@
         fc.integer({min: 2, max: 7}),
         fc.integer({min: 1, max: 1 << 30}),
         (count, seed) => {
-          const violation = new Model(count, seed).run();
+          const violation = new AuthoritySimulation(count, seed).run();
           if (violation) throw new Error(violation);
         },
       ),
--- a/packages/core/src/configuration/__tests__/fake_store.ts
+++ b/packages/core/src/configuration/__tests__/fake_store.ts
@@ -38,7 +38,7 @@
     const dueRequests = this.delayedRequests;
     this.delayedRequests = fault === 'delayed' ? [run] : [];
     const event = fault === 'delayed' ? undefined : run();
-    for (const request of dueRequests) request();
+    for (const runRequest of dueRequests) runRequest();
     if (!event || fault === 'lost') {
       return {kind: 'failed', effect: 'unknown', detail: 'no answer'};
     }
--- a/packages/core/src/connections/__tests__/connections.test.ts
+++ b/packages/core/src/connections/__tests__/connections.test.ts
@@ -41,11 +41,11 @@
   it('keeps the owners of the other data centres when one VM leaves', () => {
     const group = {database: 'ledger-1', connectionLimit: 15};
     const before = groupOwners(group, 'owners', fleet(9));
-    const [gone] = before;
+    const [removed] = before;
     const after = groupOwners(
       group,
       'owners',
-      fleet(9).filter(vm => vm.vm !== gone?.vm),
+      fleet(9).filter(vm => vm.vm !== removed?.vm),
     );
     const kept = after.filter(vm => before.some(other => other.vm === vm.vm));
     expect(kept.length).toBe(2);
--- a/packages/core/src/failover/__fixtures__/fake_fleet.ts
+++ b/packages/core/src/failover/__fixtures__/fake_fleet.ts
@@ -81,7 +81,7 @@
   readonly primaries: readonly string[];
 }
 
-/** A VM whose failover decisions run on messages of the fleet. */
+/** A VM that applies the failover decisions to the messages of the fleet. */
 class FakeVm {
   state: FailoverState;
   views: MemberView[] = [];
@@ -189,7 +189,7 @@
     }
   }
 
-  /** Starts the disturbance of the scenario. */
+  /** Starts the failure or the switchover of the scenario. */
   private startScenario(): void {
     if (this.scenario === 'primary-lost') {
       this.unreachable.set('m1', PRIMARY_BACK_AT_MS);
--- a/packages/core/src/failover/__tests__/fault_matrix.test.ts
+++ b/packages/core/src/failover/__tests__/fault_matrix.test.ts
@@ -42,7 +42,8 @@
     expect(outcomes).toMatchSnapshot();
   });
 
-  // Guards against the same failures when two faults coincide.
+  // Guards against two primaries in one term, lost writes and attempts that
+  // never end when two faults coincide.
   it('survives pairs of faults', () => {
     const fault = fc.constantFrom(...MATRIX);
     fc.assert(
--- a/packages/core/src/leadership/__tests__/choose_successor.test.ts
+++ b/packages/core/src/leadership/__tests__/choose_successor.test.ts
@@ -95,8 +95,8 @@
 ];
 
 describe('chooseSuccessor', () => {
-  // Guards against lost commits, and against repeating for ever an order that
-  // took effect before the coordinator that gave it died.
+  // Guards against lost commits, and against endless repetition of an order
+  // that took effect before the coordinator that issued it stopped.
   it.each(CASES)('%s', (unusedName, change) => {
     expect(chooseSuccessor({...BASE, ...change})).toMatchSnapshot();
   });
--- a/packages/core/src/leadership/__tests__/primary_lease.test.ts
+++ b/packages/core/src/leadership/__tests__/primary_lease.test.ts
@@ -21,7 +21,7 @@
   from: 'a',
   reason: 'unreachable',
 };
-const BASIS: PrimaryLeaseInput = {
+const BASE_INPUT: PrimaryLeaseInput = {
   record: SETTLED,
   proof: {asOfStoreMs: 1_000},
   joined: 'joined',
@@ -43,7 +43,9 @@
 describe('primary lease', () => {
   // Guards against the use of a primary that may already have been replaced.
   it.each(CASES)('%s', (unusedName, change, latest) => {
-    expect(decidePrimaryLease({...BASIS, ...change}, latest)).toMatchSnapshot();
+    expect(
+      decidePrimaryLease({...BASE_INPUT, ...change}, latest),
+    ).toMatchSnapshot();
   });
 
   // Guards against a promotion while a VM that was not reached still holds a
@@ -59,7 +61,7 @@
         const storeMs = revokedAt + random.integer(0, 20_000);
         const isHeld =
           decidePrimaryLease(
-            {...BASIS, proof: {asOfStoreMs: proofAt}},
+            {...BASE_INPUT, proof: {asOfStoreMs: proofAt}},
             latestStoreTime(holder.clock, holder.local(storeMs)),
           ).kind === 'granted';
         const mayProceed = !mayHoldPrimaryLease(
--- a/packages/core/src/leadership/__tests__/suspicion.test.ts
+++ b/packages/core/src/leadership/__tests__/suspicion.test.ts
@@ -2,15 +2,19 @@
 import {evaluateSuspicion} from '../suspicion.js';
 import type {PrimaryObservation} from '../suspicion.js';
 
-type View = PrimaryObservation | 'vm-down';
+type Observation = PrimaryObservation | 'vm-down';
 
-function views(counts: Partial<Record<View, number>>): View[] {
-  return Object.entries(counts).flatMap(([view, count]) =>
-    new Array<View>(count).fill(view as View),
+function observations(
+  counts: Partial<Record<Observation, number>>,
+): Observation[] {
+  return Object.entries(counts).flatMap(([observation, count]) =>
+    new Array<Observation>(count).fill(observation as Observation),
   );
 }
 
-const CASES: ReadonlyArray<readonly [string, Partial<Record<View, number>>]> = [
+const CASES: ReadonlyArray<
+  readonly [string, Partial<Record<Observation, number>>]
+> = [
   [
     'is kept if two VMs of a data centre are cut off',
     {unreachable: 2, unknown: 6},
@@ -41,6 +45,6 @@
 describe('suspected primary', () => {
   // Guards against a primary change by VMs that are cut off themselves.
   it.each(CASES)('%s', (unusedName, counts) => {
-    expect(evaluateSuspicion(views(counts))).toMatchSnapshot();
+    expect(evaluateSuspicion(observations(counts))).toMatchSnapshot();
   });
 });
--- a/packages/core/src/membership/__tests__/decide_membership.test.ts
+++ b/packages/core/src/membership/__tests__/decide_membership.test.ts
@@ -124,7 +124,7 @@
     ],
     // Guards against other VMs removing this VM while it runs.
     [
-      'raises its incarnation when it receives that it is down',
+      'raises its incarnation when it is reported as down',
       [[0, contactFrom('b1', 5, change('a1', 'down', 12))]],
     ],
     // Guards against probing and suspecting a stopped VM for long.
@@ -139,7 +139,7 @@
     // Guards against treating the list, which lags behind, as a proof that a VM
     // is alive or down.
     [
-      'makes only candidates of listed VMs',
+      'makes listed VMs candidates only',
       [
         [0, CONTACT],
         [1, {kind: 'listed', peers: [peer('d1', ''), peer('b1', '')]}],
@@ -150,7 +150,7 @@
     ],
     // Guards against a fleet that stays split after a partition has ended.
     [
-      'probes a peer that is down again',
+      'probes again a peer that is down',
       [
         [0, contactFrom('c1', 5)],
         [1, NOT_REACHED],
@@ -169,9 +169,9 @@
         [1, {kind: 'leave'}],
       ],
     ],
-    // Guards against peers that keep a VM as left that serves again.
+    // Guards against peers that still treat a VM as left after it has returned.
     [
-      'overrides the change that it left when it returns',
+      'overrides its own departure when it returns',
       [
         [0, CONTACT],
         [1, {kind: 'leave'}],
@@ -188,7 +188,7 @@
 
 describe('changes of a message', () => {
   // Guards against messages that grow with the fleet and against changes that
-  // are sent for ever.
+  // are sent forever.
   it('are bounded in number and in retransmissions', () => {
     const random = new Random(3);
     const many = Array.from({length: 100}, (unused, index) =>
--- a/packages/core/src/quota/__tests__/fault_schedule.ts
+++ b/packages/core/src/quota/__tests__/fault_schedule.ts
@@ -31,7 +31,11 @@
     | 'tick';
   /** The index of the VM that the step affects. */
   readonly vm: number;
-  /** A count or duration; its meaning depends on the kind. */
+  /**
+   * The number of statements or messages, the index of the message to repeat,
+   * the pause in units of 500 ms, or the remaining confirmation in units of
+   * 100 ms. Unused for the other kinds.
+   */
   readonly amount: number;
 }
 
@@ -92,12 +96,12 @@
       case 'statements':
         for (let i = 0; i < step.amount; i++) {
           const ticket = ++this.ticket;
-          const until = this.clockOf(step.vm) + 200;
+          const deadline = this.clockOf(step.vm) + 200;
           this.decide(step.vm, {
             kind: 'admit',
             workspace: WORKSPACE,
             ticket,
-            deadline: until,
+            deadline,
           });
         }
         break;
@@ -155,7 +159,11 @@
     });
   }
 
-  /** The new incarnation gets its share once the old one's loans have ended. */
+  /**
+   * Restarts a VM. The new incarnation gets its share once the loans of the old
+   * one have ended, at the latest after `MAX_SHARE_LOAN_MS` with the margin of
+   * `LENDER_DURATION_FACTOR`: 3,300 ms on the slowest clock.
+   */
   private restart(vm: number): void {
     const simulated = this.vms[vm] as SimulatedVm;
     simulated.restarts++;
@@ -247,7 +255,7 @@
       if (!quota) return;
       const account = accrue(quota.account, this.clockOf(vm));
       tokens += account.tokens;
-      ratePpm += rawRatePpm(account);
+      ratePpm += recomputedRatePpm(account);
     });
     if (tokens > BURST_TOKENS + 1e-6) {
       this.broken.push(`${tokens} tokens at ${this.now}`);
@@ -273,8 +281,8 @@
   }
 }
 
-/** The account's share of the rate, computed independently of the code. */
-function rawRatePpm(account: ReturnType<typeof accrue>): number {
+/** The account's share of the rate, computed without `ratePpmOf`. */
+function recomputedRatePpm(account: ReturnType<typeof accrue>): number {
   const own = account.at < account.confirmedUntil ? account.sharePpm : 0;
   const lent = account.lent.reduce((sum, item) => sum + item.grant.ratePpm, 0);
   return account.borrowed.reduce(
--- a/packages/core/src/quota/__tests__/loan_cases.test.ts
+++ b/packages/core/src/quota/__tests__/loan_cases.test.ts
@@ -47,7 +47,7 @@
 
 function request(
   requestId: string,
-  wanted: Partial<LoanRequest>,
+  fields: Partial<LoanRequest>,
 ): QuotaMessage {
   return {
     kind: 'loan-requested',
@@ -58,7 +58,7 @@
       kind: 'share',
       ratePpm: 0,
       tokens: 0,
-      ...wanted,
+      ...fields,
     },
   };
 }
--- a/packages/core/src/sessions/__tests__/plan_preparation.test.ts
+++ b/packages/core/src/sessions/__tests__/plan_preparation.test.ts
@@ -78,9 +78,9 @@
 describe('planPreparation', () => {
   // Guards against a statement that runs with the values of another session or
   // with another prepared statement.
-  it.each(CASES)('%s', (unusedName, contents, values, statement) => {
-    const steps = planPreparation(contents, new Map(values), statement);
-    const after = steps.reduce(applyPreparationStep, contents);
+  it.each(CASES)('%s', (unusedName, state, values, statement) => {
+    const steps = planPreparation(state, new Map(values), statement);
+    const after = steps.reduce(applyPreparationStep, state);
     expect(haveSameValues(after.values, new Map(values))).toBe(true);
     expect(steps).toMatchSnapshot();
   });
--- a/packages/core/src/statement/__tests__/route_lookup.test.ts
+++ b/packages/core/src/statement/__tests__/route_lookup.test.ts
@@ -30,7 +30,7 @@
   return {kind: 'keyed', workspace, keyId: 'k'};
 }
 
-function route(
+function lookUp(
   caller: Caller,
   databaseName: string,
   options: StatementOptions,
@@ -93,6 +93,6 @@
 // or a service that its workspace may not use.
 describe('route lookup', () => {
   it.each(CASES)('%s', (unusedName, caller, databaseName, options) => {
-    expect(route(caller, databaseName, options)).toMatchSnapshot();
+    expect(lookUp(caller, databaseName, options)).toMatchSnapshot();
   });
 });
