--- a/packages/core/src/failover/choose_candidate.ts
+++ b/packages/core/src/failover/choose_candidate.ts
@@ -7,8 +7,8 @@
  * all of them; any other one might lack some.
  *
  * Among members with equal logs, one that may be primary comes first, then one
- * that answered the last poll, then the former primary. A member that answers
- * only the calls of this attempt would be suspected again.
+ * that answered the last poll, then the former primary. A primary that does not
+ * answer polls would be suspected again.
  */
 export function chooseCandidate(attempt: Attempt): string | undefined {
   const {fenced, members, formerPrimary, reachable} = attempt;
--- a/packages/core/src/leadership/coordinator_lease.ts
+++ b/packages/core/src/leadership/coordinator_lease.ts
@@ -9,7 +9,9 @@
 
 /** Whether a VM may acquire the coordinator lease, and with which number. */
 export type CoordinatorLeaseDecision =
+  /** The VM may acquire or renew the lease. */
   | {readonly kind: 'take'; readonly fence: number}
+  /** Another VM holds the lease. */
   | {readonly kind: 'leave'; readonly holder: string};
 
 /**
--- a/packages/core/src/leadership/primary_lease.ts
+++ b/packages/core/src/leadership/primary_lease.ts
@@ -3,9 +3,9 @@
 /**
  * Duration of the primary lease: how long a VM may use a primary after the last
  * store time up to which it has read the store's rows. A VM that replaces a
- * primary waits as long for VMs that it cannot reach. A shorter lease therefore
- * ends an outage earlier if a VM and a primary fail together; a longer one
- * bridges longer outages of the store.
+ * primary must wait this long if it cannot reach another VM. A shorter lease
+ * therefore ends an outage earlier if a VM and a primary fail together; a longer
+ * one bridges longer outages of the store.
  */
 export const PRIMARY_LEASE_MS = 10_000;
 
--- a/packages/core/src/membership/select_changes.ts
+++ b/packages/core/src/membership/select_changes.ts
@@ -22,8 +22,8 @@
 export type RecipientStatus = 'known' | 'new';
 
 /**
- * Selects the changes for one message. A recipient that does not count as alive
- * always receives its own state, so that it can refute it. A new VM also gets a
+ * Selects the changes for one message. A recipient that is suspected, down or
+ * left always receives that state, so that it can refute it. A new VM also gets a
  * sample of the view, because older changes are no longer sent.
  */
 export function selectChanges(
