--- a/packages/core/src/failover/__fixtures__/fake_fleet.ts
+++ b/packages/core/src/failover/__fixtures__/fake_fleet.ts
@@ -81,7 +81,7 @@
   readonly primaries: readonly string[];
 }
 
-/** A VM whose failover decisions run on messages of the fleet. */
+/** A VM that applies the failover decisions to the messages of the fleet. */
 class FakeVm {
   state: FailoverState;
   views: MemberView[] = [];
@@ -102,7 +102,7 @@
       vm: name,
       dataCentre,
       owner: name,
-      moveGraceMs: SWITCHOVER_GRACE_MS,
+      switchoverGraceMs: SWITCHOVER_GRACE_MS,
     };
     this.state = {
       ...initialFailoverState(identity),
@@ -110,7 +110,7 @@
       members: members.map(member => ({
         backendServer: member.name,
         address: member.name,
-        standing: 'allowed',
+        eligibility: 'allowed',
       })),
     };
   }
@@ -189,7 +189,7 @@
     }
   }
 
-  /** Starts the disturbance of the scenario. */
+  /** Starts the failure or the switchover of the scenario. */
   private startScenario(): void {
     if (this.scenario === 'primary-lost') {
       this.unreachable.set('m1', PRIMARY_BACK_AT_MS);
@@ -205,7 +205,7 @@
       if (late !== (when === 'late')) continue;
       const members = vm.state.members.map(member =>
         member.backendServer === 'm1'
-          ? {...member, standing: 'leaving' as const}
+          ? {...member, eligibility: 'leaving' as const}
           : member,
       );
       this.send(vm, {kind: 'configured', members, dataCentresInService: 3});
