--- a/packages/entry/src/caller/connection_task.ts
+++ b/packages/entry/src/caller/connection_task.ts
@@ -211,7 +211,7 @@
   private async query(sql: string, receivedAt: number): Promise<void> {
     clearTimeout(this.idleTimer);
     const context = this.deps.context();
-    // If the connection was closed, the close has answered this request.
+    // A connection closed before this point has already answered the request.
     if (!context || !this.connection.isOpen) return;
     const parsed = await this.deps.parse.run({
       connectionId: this.id,
--- a/packages/entry/src/configuration/configuration_task.ts
+++ b/packages/entry/src/configuration/configuration_task.ts
@@ -54,7 +54,7 @@
   readonly peers: ConfigurationPeers;
   /** Called with each newly applied configuration and its document. */
   readonly onApplied: (current: VersionedConfiguration, body: string) => void;
-  /** Called when both rows were read from the store, not from a peer. */
+  /** Called when the store, not a peer, has supplied both row versions. */
   readonly onRead: (read: VersionRead) => void;
   readonly clock: Clock;
   readonly log: Logger;
@@ -67,7 +67,7 @@
  */
 export class ConfigurationTask extends Task<ConfigurationMessage> {
   private applied: AppliedDocument | undefined;
-  /** The highest known version and hash not applied yet. */
+  /** The highest known version that is not applied yet, with its hash. */
   private pending: ConfigurationVersion | undefined;
   /** The highest version that a VM has reported; its hash may be unknown. */
   private reportedVersion = 0;
--- a/packages/entry/src/daemon/entry_daemon.ts
+++ b/packages/entry/src/daemon/entry_daemon.ts
@@ -320,7 +320,7 @@
     });
     this.quota.applyLifecycle(isDraining ? 'draining' : 'serving');
     // Only a VM that the platform lists as leaving leaves the fleet. A VM in a
-    // data centre that is out of service may return, so its peers keep it.
+    // data centre that is out of service may return, so it stays in the fleet.
     const isListed = reasons.includes('listed-leaving');
     if (isListed && !before.includes('listed-leaving')) void this.peers.leave();
     if (!isListed && before.includes('listed-leaving')) this.peers.rejoin();
@@ -340,6 +340,7 @@
     this.audit.tell({kind: 'record', entry});
   }
 
+  /** Builds the answer to `/status`. */
   private async report(): Promise<VmStatus> {
     const {vm} = this.settings;
     const views = await Promise.all(
--- a/packages/entry/src/daemon/peer_subsystem.ts
+++ b/packages/entry/src/daemon/peer_subsystem.ts
@@ -50,7 +50,7 @@
   readonly self: PeerRecord;
   /** What is needed to forward statements to the owners of a group. */
   readonly forward: ForwardingDependencies;
-  private readonly calls = new TrpcOwnerClient();
+  private readonly ownerClient = new TrpcOwnerClient();
   private readonly keepAlive: KeepAliveTask;
   private readonly membership: MembershipTask;
   private readonly owner: OwnerTask;
@@ -68,8 +68,12 @@
       address: settings.listen.peers,
       instance: randomUUID(),
     };
-    this.keepAlive = new KeepAliveTask(this.calls, onFault);
-    this.forward = {ownerClient: this.calls, keepAlive: this.keepAlive, clock};
+    this.keepAlive = new KeepAliveTask(this.ownerClient, onFault);
+    this.forward = {
+      ownerClient: this.ownerClient,
+      keepAlive: this.keepAlive,
+      clock,
+    };
     this.membership = new MembershipTask({
       self: this.self,
       incarnation: Date.now(),
@@ -146,7 +150,7 @@
 
   /** Sends a failover report to the other VMs that poll the same group. */
   sendReport(report: FailoverReport, owners: readonly OwnerTarget[]): void {
-    for (const owner of owners) void this.calls.report(owner, report);
+    for (const owner of owners) void this.ownerClient.report(owner, report);
   }
 
   /** Stops the tasks and closes the server and the clients. */
@@ -155,6 +159,6 @@
     await this.keepAlive.stop();
     await this.owner.stop();
     this.server.close();
-    this.calls.close();
+    this.ownerClient.close();
   }
 }
--- a/packages/entry/src/failover/__tests__/failover_task.test.ts
+++ b/packages/entry/src/failover/__tests__/failover_task.test.ts
@@ -29,7 +29,7 @@
   };
 }
 
-/** A group whose primary is unreachable and whose replicas obey every call. */
+/** A group whose primary is unreachable and whose replicas accept all calls. */
 class FakeGroup {
   private members: MemberView[] = NAMES.map((backendServer, index) => ({
     backendServer,
--- a/packages/entry/src/failover/failover_task.ts
+++ b/packages/entry/src/failover/failover_task.ts
@@ -25,8 +25,9 @@
   MemberControlResult,
 } from '../group/member_control_task.js';
 
+/** Interval at which the group is observed. */
 const IDLE_TICK_MS = 250;
-/** Used during an attempt and while this VM's report is not clear. */
+/** Interval during an attempt and while this VM's report is not `clear`. */
 const ACTIVE_TICK_MS = 50;
 
 /** Messages to the failover task of a group. */
@@ -60,7 +61,7 @@
   readonly log: Logger;
 }
 
-/** Returns the key of the row that serialises the attempts for a database. */
+/** Returns the key of the row that serializes the attempts for a database. */
 export function failoverKey(database: string): string {
   return `failover/${database}`;
 }
@@ -68,7 +69,7 @@
 /**
  * Observes one group, passes observations and reports to the failover decisions
  * and performs the resulting actions. Fence, promote and follow calls go to the
- * group task; claims go to the row of the database.
+ * group task; claims are written to the database's row in the store.
  */
 export class FailoverTask extends Task<FailoverTaskMessage> {
   private state: FailoverState;
@@ -80,8 +81,9 @@
     private readonly deps: FailoverDependencies,
   ) {
     super();
-    // Each process has its own owner ID, so a restarted VM never repeats a call
-    // of a term that its earlier process used for another call.
+    // Only one owner can fence a member in each term. A new ID for each process
+    // keeps a restarted VM from reusing a term of its earlier process for other
+    // calls.
     const owner = `${identity.vm}/${randomBytes(4).toString('hex')}`;
     this.state = initialFailoverState({...identity, owner});
     this.schedule();
--- a/packages/entry/src/forward/__tests__/owner_task.test.ts
+++ b/packages/entry/src/forward/__tests__/owner_task.test.ts
@@ -63,7 +63,7 @@
     return begun.transaction;
   }
 
-  // Guards against locks that the transaction of a failed VM holds for ever,
+  // Guards against locks that the transaction of a failed VM holds forever,
   // and against rolling back a transaction whose caller is merely idle.
   it('rolls back a transaction without keep-alives', async () => {
     const {executor, time, task, begin, executeIn} = setup();
--- a/packages/entry/src/forward/forwarded_transaction.ts
+++ b/packages/entry/src/forward/forwarded_transaction.ts
@@ -36,9 +36,9 @@
   override async execute(
     statement: RoutedStatement,
   ): Promise<Result<StatementReply, Refusal>> {
-    const {ownerClient: calls, clock} = this.deps;
+    const {ownerClient, clock} = this.deps;
     const wire = encodeStatement(statement, clock());
-    const answer = await calls.executeIn(
+    const answer = await ownerClient.executeIn(
       this.owner,
       this.id,
       wire,
@@ -59,9 +59,9 @@
   override async commit(
     deadline: number,
   ): Promise<Result<StatementReply, Refusal>> {
-    const {ownerClient: calls, clock} = this.deps;
+    const {ownerClient, clock} = this.deps;
     const remainingMs = Math.max(1, deadline - clock());
-    const answer = await calls.commit(
+    const answer = await ownerClient.commit(
       this.owner,
       this.id,
       remainingMs,
--- a/packages/entry/src/forward/keep_alive_task.ts
+++ b/packages/entry/src/forward/keep_alive_task.ts
@@ -23,7 +23,7 @@
   private readonly timer: NodeJS.Timeout;
 
   constructor(
-    private readonly calls: OwnerClient,
+    private readonly ownerClient: OwnerClient,
     private readonly onFault: (err: unknown) => void,
   ) {
     super();
@@ -65,7 +65,7 @@
     }
     for (const {owner, ids} of byAddress.values()) {
       // A lost keep-alive needs no retry, since the next one replaces it.
-      void this.calls.keepAlive(owner, ids, KEEP_ALIVE_INTERVAL_MS);
+      void this.ownerClient.keepAlive(owner, ids, KEEP_ALIVE_INTERVAL_MS);
     }
   }
 }
--- a/packages/entry/src/forward/owner_client.ts
+++ b/packages/entry/src/forward/owner_client.ts
@@ -71,7 +71,7 @@
     statement: WireStatement,
     timeoutMs: number,
   ): Promise<Result<ForwardResponse, PeerError>> {
-    return this.to(owner).forward({statement}, {timeoutMs});
+    return this.clientOf(owner).forward({statement}, {timeoutMs});
   }
 
   override begin(
@@ -79,7 +79,7 @@
     statement: WireStatement,
     timeoutMs: number,
   ): Promise<Result<BeginResponse, PeerError>> {
-    return this.to(owner).begin({statement}, {timeoutMs});
+    return this.clientOf(owner).begin({statement}, {timeoutMs});
   }
 
   override executeIn(
@@ -88,7 +88,10 @@
     statement: WireStatement,
     timeoutMs: number,
   ): Promise<Result<ForwardResponse, PeerError>> {
-    return this.to(owner).executeIn({transaction, statement}, {timeoutMs});
+    return this.clientOf(owner).executeIn(
+      {transaction, statement},
+      {timeoutMs},
+    );
   }
 
   override commit(
@@ -97,7 +100,7 @@
     remainingMs: number,
     timeoutMs: number,
   ): Promise<Result<ForwardResponse, PeerError>> {
-    return this.to(owner).commit({transaction, remainingMs}, {timeoutMs});
+    return this.clientOf(owner).commit({transaction, remainingMs}, {timeoutMs});
   }
 
   override rollback(
@@ -105,7 +108,7 @@
     transaction: string,
     timeoutMs: number,
   ): Promise<Result<void, PeerError>> {
-    return this.to(owner).rollback({transaction}, {timeoutMs});
+    return this.clientOf(owner).rollback({transaction}, {timeoutMs});
   }
 
   override keepAlive(
@@ -114,19 +117,19 @@
     timeoutMs: number,
   ): Promise<Result<void, PeerError>> {
     const req = {transactions: [...transactions]};
-    return this.to(owner).keepAlive(req, {timeoutMs});
+    return this.clientOf(owner).keepAlive(req, {timeoutMs});
   }
 
   /** Sends a failover report once. The next one replaces a lost report. */
   async report(owner: OwnerTarget, report: FailoverReport): Promise<void> {
-    await this.to(owner).report(report, {timeoutMs: REPORT_TIMEOUT_MS});
+    await this.clientOf(owner).report(report, {timeoutMs: REPORT_TIMEOUT_MS});
   }
 
   close(): void {
     this.clients.close();
   }
 
-  private to(owner: OwnerTarget) {
+  private clientOf(owner: OwnerTarget) {
     return this.clients.clientFor(owner.address);
   }
 }
--- a/packages/entry/src/forward/owner_task.ts
+++ b/packages/entry/src/forward/owner_task.ts
@@ -277,7 +277,7 @@
     return ok({executor, context});
   }
 
-  /** Answers with the outcome of the work, and counts it as in progress. */
+  /** Counts `work` as in progress until it ends; answers with its result. */
   private run(
     work: Promise<Result<StatementReply, Refusal>>,
     reply: ForwardReply,
--- a/packages/entry/src/group/acquire_filter.ts
+++ b/packages/entry/src/group/acquire_filter.ts
@@ -6,7 +6,7 @@
 import type {CheckoutUse} from './group_message.js';
 import type {GroupTask} from './group_task.js';
 
-/** Checks out a connection to the chosen member; waits in the fair queue. */
+/** Checks out a connection to the chosen member; waits until one is free. */
 export class AcquireFilter extends Filter<
   ChosenStatement,
   StatementCheckout,
--- a/packages/entry/src/group/confirm_filter.ts
+++ b/packages/entry/src/group/confirm_filter.ts
@@ -12,7 +12,7 @@
 import type {GroupTask} from './group_task.js';
 
 /**
- * Delays the reply until the quorum proof that the statement needs is given: a
+ * Delays the reply until the statement has the quorum proof that it needs: a
  * write must be acknowledged as its route requires, and a read on the primary
  * must come from a primary that was not replaced.
  */
--- a/packages/entry/src/group/connection_pool.ts
+++ b/packages/entry/src/group/connection_pool.ts
@@ -45,7 +45,7 @@
  * for them. Owned by the `GroupTask`. Checkouts for autocommit statements are
  * limited to the member's slots, so that statements wait here, where the queue
  * is fair, and not in the backend server. A transaction keeps its connection
- * between its statements, so it takes no slot; transactions are limited only
+ * between its statements, so it uses no slot; transactions are limited only
  * by the number of connections.
  */
 export class ConnectionPool {
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Takes back a connection. Returns false if it was not checked out from this
-   * pool.
+   * Returns a connection to the pool. The result is false if it was not checked
+   * out from this pool.
    */
   release(backend: BackendTask, reuse: Reuse, now: number): boolean {
     const checkout = this.checkouts.get(backend);
--- a/packages/entry/src/group/group_task.ts
+++ b/packages/entry/src/group/group_task.ts
@@ -38,7 +38,6 @@
 const CONTROL_TIMEOUT_MS = 500;
 /** Delay until the next check for expired deadlines while statements wait. */
 const TICK_DELAY_MS = 20;
-
 /** Limits the statements of one workspace that wait for one member. */
 const MAX_WAITING_PER_WORKSPACE = 200;
 
@@ -154,8 +153,8 @@
 
   /**
    * Stops routing new statements to leaving members. A leaving primary accepts
-   * writes until the switchover may start, since holding them back earlier
-   * only makes callers wait.
+   * writes until the switchover may start, since refusing them earlier only
+   * makes callers wait.
    */
   private updateAccepting(now: number): void {
     const allAccept = this.view.members.every(member => member.accepting);
@@ -258,9 +257,8 @@
   }
 
   /**
-   * Aborts the statements on a former primary that is unreachable. Once it is
-   * replaced, no write on it can be confirmed any more, so waiting until the
-   * deadline would only delay the callers.
+   * Aborts the statements on an unreachable former primary. Once it is replaced,
+   * no write on it can be confirmed, so waiting would only delay the callers.
    */
   private abandonFormerPrimary(): void {
     const former = this.view.members.find(
--- a/packages/entry/src/group/retry_filter.ts
+++ b/packages/entry/src/group/retry_filter.ts
@@ -35,7 +35,7 @@
   ): Promise<Result<StatementReply, Refusal>> {
     const repeatability = repeatabilityOf(statement);
     this.group.tell({kind: 'request-started'});
-    // Once a write may have run, no later refusal can say that it did not.
+    // Once a write may have run, no later refusal may report that it did not.
     let unknown: Refusal | undefined;
     for (let attempts = 1; ; attempts += 1) {
       const result = await this.attempt.run({
--- a/packages/entry/src/membership/membership_task.ts
+++ b/packages/entry/src/membership/membership_task.ts
@@ -285,17 +285,17 @@
     recipientState: 'known' | 'new',
   ): Gossip {
     const {random, clock, payloads} = this.deps;
-    const taken = selectChanges(
+    const selection = selectChanges(
       this.membership,
       recipient,
       recipientState,
       random,
     );
-    this.membership = taken.state;
+    this.membership = selection.state;
     return {
       from: this.membership.self,
       incarnation: this.membership.incarnation,
-      changes: [...taken.changes],
+      changes: [...selection.changes],
       versions: versionReport(this.authority, clock()),
       suspicions: payloads.suspicions(),
       spareQuota: payloads.spareQuota(),
--- a/packages/entry/src/quota/ledger_task.ts
+++ b/packages/entry/src/quota/ledger_task.ts
@@ -278,7 +278,7 @@
     onApplied(ledgerMembers(ledger, version), row);
   }
 
-  /** Returns the next change, or the same ledger if there is none. */
+  /** Returns the next change, or the unchanged ledger if there is none. */
   private nextStep(ledger: Ledger, version: number): LedgerStep {
     const {self, clock, log} = this.deps;
     const now = clock();
--- a/packages/entry/src/quota/quota_message.ts
+++ b/packages/entry/src/quota/quota_message.ts
@@ -4,7 +4,7 @@
 /** The outcome of a statement's request for a token. */
 export type AdmitOutcome = 'admitted' | 'refused';
 
-/** Whether a VM uses its share; a drained VM has ended the use. */
+/** Whether a VM uses its share. A drained VM no longer does. */
 export type ShareUse = 'in-use' | 'ended';
 
 /** Messages to the task that owns the tokens and loans of a VM. */
--- a/packages/entry/src/quota/quota_subsystem.ts
+++ b/packages/entry/src/quota/quota_subsystem.ts
@@ -54,7 +54,7 @@
   private serveUnconfirmed = false;
 
   constructor(private readonly deps: QuotaSubsystemDependencies) {
-    const {self, table, clock, log, updateAuthority: learn} = deps;
+    const {self, table, clock, log, updateAuthority} = deps;
     this.quota = new QuotaTask({
       self: self.instance,
       sendLoanRequest: (instance, req) => this.sendLoanRequest(instance, req),
@@ -77,8 +77,8 @@
       record: deps.record,
       onApplied: (members, row) => {
         this.row = row;
-        learn({kind: 'applied', versions: {ledger: members.version}});
-        learn({kind: 'ledger-members', members});
+        updateAuthority({kind: 'applied', versions: {ledger: members.version}});
+        updateAuthority({kind: 'ledger-members', members});
       },
       random: new Random(Date.now() | 0),
       clock,
@@ -112,7 +112,7 @@
     return {kind: 'found', version: row.version, value: row.value};
   }
 
-  /** Applies the rate limits and the mode of unconfirmed VMs. */
+  /** Applies the rate limits and the `whenUnconfirmed` setting. */
   configure({workspaces, whenUnconfirmed}: Configuration): void {
     const limits = new Map(
       workspaces.map(({name, rate, burst}) => [name, {rate, burst}]),
@@ -156,8 +156,8 @@
       this.ledger.tell({kind: 'version-reported', version: view.known.ledger});
     }
     this.reportedLedgerVersion = view.known.ledger;
-    // No ledger change can take anything from a VM without a share, so such a
-    // VM may report a known version as applied without reading it.
+    // No ledger change can lower the share of a VM that has none, so such a VM
+    // may report a known version as applied without reading it.
     if (
       this.ledger.state === 'not-joined' &&
       view.known.ledger > view.applied.ledger
@@ -167,7 +167,7 @@
     }
   }
 
-  /** A draining VM returns its share when its work has ended. */
+  /** Applies the lifecycle. A draining VM returns its share once it is idle. */
   applyLifecycle(lifecycle: Lifecycle): void {
     this.ledger.tell({kind: 'lifecycle', lifecycle});
   }
--- a/packages/entry/src/routing/group_directory.ts
+++ b/packages/entry/src/routing/group_directory.ts
@@ -16,7 +16,7 @@
 import {planRouting} from './plan_routing.js';
 import type {GroupRoutingPlan} from './plan_routing.js';
 
-/** Time for which a group that is no longer owned may finish its statements. */
+/** How long the statements of a retired group may take to finish. */
 const RETIREMENT_GRACE_MS = 30_000;
 
 /** The tasks and the executor of a group that this VM owns. */
@@ -64,7 +64,7 @@
     this.update('view-changed');
   }
 
-  /** Whether any group can be reached, over own connections or an owner. */
+  /** Whether any group can be reached, directly or through an owner. */
   get state(): 'pending' | 'reachable' {
     const isReachable = [...this.plans.values()].some(
       plan => plan.role === 'owner' || plan.targets.length > 0,
@@ -77,7 +77,7 @@
     return this.local(database) ?? this.forwarding.get(database);
   }
 
-  /** The executor over own connections, if this VM owns the group. */
+  /** The executor over this VM's connections, if it owns the group. */
   local(database: string): GroupExecutor | undefined {
     return this.owned.get(database)?.executor;
   }
@@ -172,7 +172,10 @@
     }
   }
 
-  /** Gives up a group: its connections are closed as its statements end. */
+  /**
+   * Closes the connections of a group that this VM no longer owns, each when
+   * its statement or transaction ends or the grace time has passed.
+   */
   private retireGroup(
     database: string,
     servers: readonly BackendServer[],
