--- a/packages/entry/src/routing/group_directory.ts
+++ b/packages/entry/src/routing/group_directory.ts
@@ -174,7 +174,7 @@
 
   /**
    * Closes the connections of a group that this VM no longer owns, each when
-   * its statement or transaction ends or the grace time has passed.
+   * its statement or transaction ends.
    */
   private retireGroup(
     database: string,
