--- a/packages/entry/src/daemon/entry_daemon.ts
+++ b/packages/entry/src/daemon/entry_daemon.ts
@@ -114,7 +114,7 @@
     this.lifecycle = new LifecycleTask({
       vm: vm.name,
       dataCentre: vm.data_centre,
-      onChanged: (reasons, before) => this.drainChanged(reasons, before),
+      onChanged: (reasons, before) => this.applyDrainReasons(reasons, before),
       onFault: err =>
         this.log.error({event: 'lifecycle.failed', err}, 'lifecycle'),
     });
@@ -137,7 +137,7 @@
         loan: req => this.quota.handleLoanRequest(req),
         report: report => this.groups.passOnReport(report),
       },
-      onView: view => this.viewChanged(view),
+      onView: view => this.applyMembership(view),
       onListed: vms => this.lifecycle.tell({kind: 'listed', vms}),
       local: database => this.groups.local(database),
       context: () => this.context(),
@@ -301,7 +301,7 @@
     this.notifyContextChanged();
   }
 
-  private drainChanged(
+  private applyDrainReasons(
     reasons: readonly DrainReason[],
     before: readonly DrainReason[],
   ): void {
@@ -362,7 +362,7 @@
     };
   }
 
-  private viewChanged(view: MembershipView): void {
+  private applyMembership(view: MembershipView): void {
     this.groups.applyMembership(view);
     this.configurationPeers.applyMembership(view);
     if (view.known.configuration > this.reportedConfigurationVersion) {
--- a/packages/entry/src/membership/membership_task.ts
+++ b/packages/entry/src/membership/membership_task.ts
@@ -81,10 +81,10 @@
         this.retainClients();
         break;
       case 'listed':
-        this.listed(message.vms);
+        this.applyList(message.vms);
         break;
       case 'probed':
-        message.reply.answer(this.probed(message.gossip));
+        message.reply.answer(this.answerProbe(message.gossip));
         break;
       case 'answered':
         this.answered(message);
@@ -232,7 +232,7 @@
     reply.answer(isReached ? 'reached' : 'not-reached');
   }
 
-  private probed(gossip: Gossip): Gossip {
+  private answerProbe(gossip: Gossip): Gossip {
     const known = this.membership.peers.get(gossip.from.vm);
     const isNew =
       known?.peer.instance !== gossip.from.instance || known.state === 'down';
@@ -307,7 +307,7 @@
     if (vms.ok) this.tell({kind: 'listed', vms: vms.value});
   }
 
-  private listed(vms: readonly ListedVm[]): void {
+  private applyList(vms: readonly ListedVm[]): void {
     const isFirst = this.discovery === 'pending';
     this.discovery = 'done';
     this.decide({
