--- a/packages/entry/src/membership/membership_task.ts
+++ b/packages/entry/src/membership/membership_task.ts
@@ -81,10 +81,10 @@
         this.retainClients();
         break;
       case 'listed':
-        this.listed(message.vms);
+        this.applyList(message.vms);
         break;
       case 'probed':
-        message.reply.answer(this.probed(message.gossip));
+        message.reply.answer(this.answerProbe(message.gossip));
         break;
       case 'answered':
         this.answered(message);
@@ -232,7 +232,7 @@
     reply.answer(isReached ? 'reached' : 'not-reached');
   }
 
-  private probed(gossip: Gossip): Gossip {
+  private answerProbe(gossip: Gossip): Gossip {
     const known = this.membership.peers.get(gossip.from.vm);
     const isNew =
       known?.peer.instance !== gossip.from.instance || known.state === 'down';
@@ -285,17 +285,17 @@
     recipientState: 'known' | 'new',
   ): Gossip {
     const {random, clock, payloads} = this.deps;
-    const taken = selectChanges(
+    const selection = selectChanges(
       this.membership,
       recipient,
       recipientState,
       random,
     );
-    this.membership = taken.state;
+    this.membership = selection.state;
     return {
       from: this.membership.self,
       incarnation: this.membership.incarnation,
-      changes: [...taken.changes],
+      changes: [...selection.changes],
       versions: versionReport(this.authority, clock()),
       suspicions: payloads.suspicions(),
       spareQuota: payloads.spareQuota(),
@@ -307,7 +307,7 @@
     if (vms.ok) this.tell({kind: 'listed', vms: vms.value});
   }
 
-  private listed(vms: readonly ListedVm[]): void {
+  private applyList(vms: readonly ListedVm[]): void {
     const isFirst = this.discovery === 'pending';
     this.discovery = 'done';
     this.decide({
