--- a/packages/gateway/src/telemetry/gateway_metrics.ts
+++ b/packages/gateway/src/telemetry/gateway_metrics.ts
@@ -23,7 +23,7 @@
 
   private readonly changes = new Counter({
     name: 'pistachiorill_gateway_primary_changes_total',
-    help: 'Primary changes that this VM carried out, by outcome.',
+    help: 'Changes of primary that this VM carried out, by outcome.',
     labelNames: ['outcome'],
     registers: [this.registry],
   });
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -17,7 +17,7 @@
 
   readonly statementSeconds = new Histogram({
     name: 'pistachiorill_statement_seconds',
-    help: 'Time from the arrival of a statement to its response, in seconds.',
+    help: 'Time from the arrival of a statement to its reply.',
     labelNames: ['access'],
     buckets: LATENCY_BUCKETS_S,
     registers: [this.registry],
@@ -32,7 +32,7 @@
 
   readonly processCpuSeconds = new Gauge({
     name: 'pistachiorill_process_cpu_seconds',
-    help: 'User and system CPU time of the process, in seconds.',
+    help: 'CPU time of the process, user and system.',
     registers: [this.registry],
     collect() {
       const {user, system} = process.cpuUsage();
@@ -42,7 +42,7 @@
 
   readonly residentBytes = new Gauge({
     name: 'pistachiorill_resident_bytes',
-    help: 'Resident memory of the process, in bytes.',
+    help: 'Resident memory of the process.',
     registers: [this.registry],
     collect() {
       this.set(process.memoryUsage.rss());
@@ -51,25 +51,25 @@
 
   readonly configurationVersion = new Gauge({
     name: 'pistachiorill_configuration_version',
-    help: 'The applied configuration version.',
+    help: 'The configuration version that is applied.',
     registers: [this.registry],
   });
 
   readonly draining = new Gauge({
     name: 'pistachiorill_draining',
-    help: '1 while the VM drains and accepts no new work, otherwise 0.',
+    help: 'Whether the VM takes no new work: 1 while it drains, else 0.',
     registers: [this.registry],
   });
 
   readonly configurationReadTime = new Gauge({
     name: 'pistachiorill_configuration_read_time_seconds',
-    help: 'Unix time of the last read of the version row, in seconds.',
+    help: 'Wall-clock time of the last read of the version row.',
     registers: [this.registry],
   });
 
   readonly auditBuffered = new Gauge({
     name: 'pistachiorill_audit_buffered',
-    help: 'Audit entries that the object store has not accepted yet.',
+    help: 'Audit entries that the object store has not taken yet.',
     registers: [this.registry],
   });
 }
