--- a/packages/gateway/src/leadership/leadership_task.ts
+++ b/packages/gateway/src/leadership/leadership_task.ts
@@ -208,7 +208,7 @@
             primary: primary.member,
             result: result.ok ? 'done' : result.err,
           },
-          'recorded the first primary of the group',
+          'tried to record the first primary of the group',
         ),
       );
   }
@@ -314,10 +314,7 @@
     this.tell({kind: 'change-ended', group, outcome});
   }
 
-  /**
-   * Whether a switchover may be announced, after which its primary serves no
-   * statements: once all VMs can be asked to stop, or once the wait is over.
-   */
+  /** Whether all VMs can be asked to stop, or the wait for them is over. */
   private async mayAnnounce(group: string, since: number): Promise<boolean> {
     const {clock, peers, view, log} = this.deps;
     const record = view().rows.leadership.get(group)?.record;
@@ -325,7 +322,8 @@
     const primary = this.deps
       .members(group)
       .find(item => item.member === record.primary);
-    // If the primary serves no statements, waiting keeps nothing available.
+    // The announcement stops all statements at the primary. Waiting first keeps
+    // it available, unless it is unlisted or its data centre is out of service.
     if (!primary || this.deps.isOutOfService(primary)) return true;
     if (this.pingingGroups.has(group)) return false;
     this.pingingGroups.add(group);
