--- a/packages/gateway/src/daemon/database_set.ts
+++ b/packages/gateway/src/daemon/database_set.ts
@@ -12,7 +12,10 @@
 import type {MemberLinkFactory} from '../ports/member_link.js';
 import type {GatewaySettings} from './gateway_settings.js';
 
-/** A suspicion is raised several times within this time while it lasts. */
+/**
+ * A suspicion that was not raised again for this long has ended. While a primary
+ * is unreachable, the group's task raises it more often.
+ */
 const SUSPICION_VALIDITY_MS = 500;
 /** How long primaries must be unreachable before the VM counts as isolated. */
 const ISOLATED_AFTER_MS = 600;
@@ -58,7 +61,7 @@
     return this.members.filter(item => item.group === group);
   }
 
-  /** Opens and closes groups as the operators' state says. */
+  /** Opens the groups that the configuration adds; closes removed ones. */
   updateOperatorState(state: OperatorState): void {
     this.operators = state;
     const groups = state.configuration?.groups ?? new Map();
@@ -117,14 +120,17 @@
       regionOf: dataCentre => regions[dataCentre] ?? '',
       links,
       clock,
-      primaryLease: leadership => this.rightOf(group, leadership),
+      primaryLease: leadership => this.primaryLeaseFor(group, leadership),
       onPrimaryUnreachable: (name, primary, since) => {
         this.suspicions.set(name, {since, at: clock()});
         onSuspect(name, primary, since);
       },
       log,
       onFailed: err =>
-        log.error({event: 'database.failed', group, err}, 'task failed'),
+        log.error(
+          {event: 'database.failed', group, err},
+          'unexpected error in the task of the group',
+        ),
     });
     this.tasks.set(group, task);
     const leadership = view().rows.leadership.get(group);
@@ -132,11 +138,11 @@
   }
 
   /**
-   * Returns the primary lease for a group. The proof of the current view covers
-   * its records, so a record that the group's task has not received yet already
-   * counts.
+   * Returns the primary lease for a group. A record in the current view that the
+   * group's task has not received yet takes precedence over the known one, as
+   * the proof of the view covers the records in it.
    */
-  private rightOf(
+  private primaryLeaseFor(
     group: string,
     known: VersionedLeadership | undefined,
   ): PrimaryLeaseDecision {
--- a/packages/gateway/src/daemon/gateway_daemon.ts
+++ b/packages/gateway/src/daemon/gateway_daemon.ts
@@ -112,7 +112,10 @@
     const {clock, peers} = this;
     this.ports = openPorts({clock, log});
     const onFailed = (err: unknown): void => {
-      log.error({event: 'task.failed', err}, 'task failed');
+      log.error(
+        {event: 'task.failed', err},
+        'unexpected error in a task of this VM',
+      );
     };
     const onStoreFailure = (call: string): void => {
       this.metrics.storeFailed(call);
--- a/packages/gateway/src/database/database_task.ts
+++ b/packages/gateway/src/database/database_task.ts
@@ -24,7 +24,7 @@
 import type {Placement} from './place_statement.js';
 import {PendingPrimaryStops} from './pending_primary_stops.js';
 
-const TICK_MS = 50;
+const MAINTENANCE_INTERVAL_MS = 50;
 
 type CheckoutMessage = Extract<DatabaseMessage, {kind: 'check-out'}>;
 type CheckoutReply = Reply<Result<Checkout, CheckoutRefusal>>;
@@ -283,7 +283,7 @@
     if (effect !== 'answered') this.suspect(now);
   }
 
-  /** Handles a write that the recorded primary refused as it does not lead. */
+  /** Handles the report of the recorded primary that it is not the primary. */
   private handleNotPrimary(member: string, now: number): void {
     if (!this.isPrimary(member)) return;
     this.members.failed(member, now);
@@ -385,7 +385,7 @@
     this.ticker = setTimeout(() => {
       this.ticker = undefined;
       this.tell({kind: 'tick'});
-    }, TICK_MS);
+    }, MAINTENANCE_INTERVAL_MS);
   }
 
   private logMember(
--- a/packages/gateway/src/database/lease_refusals.ts
+++ b/packages/gateway/src/database/lease_refusals.ts
@@ -4,7 +4,7 @@
 
 /** How soon a caller may retry a refused statement. */
 const DEFAULT_RETRY_AFTER_MS = 50;
-/** The same while a primary change is in progress. */
+/** How soon a caller may retry while a primary change is in progress. */
 const PRIMARY_CHANGE_RETRY_AFTER_MS = 400;
 
 /** Creates a refusal with the retry delay of its kind. */
--- a/packages/gateway/src/database/member_connection.ts
+++ b/packages/gateway/src/database/member_connection.ts
@@ -96,7 +96,7 @@
  * statements that the connection holds.
  */
 export class MemberConnection extends Task<ConnectionMessage> {
-  private contents: ConnectionSessionState = EMPTY_SESSION_STATE;
+  private sessionState: ConnectionSessionState = EMPTY_SESSION_STATE;
   private recordedState: ConnectionState = 'new';
 
   constructor(
@@ -118,7 +118,7 @@
 
   /** The session values that are set on the connection. */
   get values(): SessionValues {
-    return this.contents.values;
+    return this.sessionState.values;
   }
 
   protected override handle(message: ConnectionMessage): void {
@@ -161,7 +161,7 @@
       answer.transaction === 'none' ? 'clean' : 'in-transaction';
     const {outcome} = answer;
     if (outcome.kind === 'done') return ok({answer, sentAt});
-    // The recorded contents of the connection are wrong.
+    // The recorded session state of the connection is wrong.
     if (outcome.error.kind === 'no-prepared-statement') this.close();
     return fail({
       failure: toAttemptFailure(outcome.error.kind),
@@ -192,13 +192,13 @@
       this.recordedState = 'clean';
     }
     for (const step of planPreparation(
-      this.contents,
+      this.sessionState,
       job.values,
       job.prepared,
     )) {
       const done = await this.runSetupCommand({command: step});
       if (!done.ok) return done;
-      this.contents = applyPreparationStep(this.contents, step);
+      this.sessionState = applyPreparationStep(this.sessionState, step);
     }
     if (job.begin === undefined) return ok(undefined);
     const begun = await this.runSetupCommand({
--- a/packages/gateway/src/database/place_statement.ts
+++ b/packages/gateway/src/database/place_statement.ts
@@ -42,12 +42,12 @@
 /** Chooses the member that runs a statement, or returns why none may. */
 export function placeStatement(
   request: CheckoutRequest,
-  basis: PlacementContext,
+  context: PlacementContext,
 ): PlacementResult {
   const {requirement} = request;
   return requirement.kind === 'primary'
-    ? placeAtPrimary(request, basis)
-    : placeRecentRead(request, requirement, basis);
+    ? placeAtPrimary(request, context)
+    : placeRecentRead(request, requirement, context);
 }
 
 function placeAtPrimary(
@@ -84,16 +84,16 @@
 function placeRecentRead(
   request: CheckoutRequest,
   requirement: Extract<CheckoutRequest['requirement'], {kind: 'recent'}>,
-  basis: PlacementContext,
+  context: PlacementContext,
 ): PlacementResult {
-  const {members, samples, primaryLease: lease, now} = basis;
+  const {members, samples, primaryLease: lease, now} = context;
   const sample = requiredPosition(
     samples,
     requirement.maxAgeMs - AGE_MARGIN_MS,
     now,
   );
   const after = sample && laterPosition(sample, requirement.seen);
-  const loads = members.readCandidates(request, rolesOf(basis), now);
+  const loads = members.readCandidates(request, rolesOf(context), now);
   const ranked = rankMembersForRead(loads, after, now);
   const isFree = (member: string): boolean =>
     members.pool(member)?.canGrant(request, now) === true;
--- a/packages/gateway/src/fleet/fleet_task.ts
+++ b/packages/gateway/src/fleet/fleet_task.ts
@@ -306,7 +306,7 @@
     const key = vmKey(this.deps.vm);
     const version = this.rows.get(key)?.version;
     if (version === undefined) return;
-    // Conditional, so that a late removal spares the row of a later process.
+    // Conditional, so that a late removal keeps the row of a newer process.
     await this.transact({
       expected: new Map([[key, version]]),
       puts: new Map(),
--- a/packages/gateway/src/leadership/primary_change.ts
+++ b/packages/gateway/src/leadership/primary_change.ts
@@ -70,9 +70,9 @@
   }
 
   /**
-   * Keeps a former primary that a partition hid, if it is reachable again by
-   * the time the VMs behind the partition could be asked to stop. A promotion
-   * would drop the commits that it made meanwhile.
+   * Keeps a former primary that was unreachable because of a partition, if it
+   * is reachable again by the time the VMs behind the partition could be asked
+   * to stop. A promotion would drop the commits that it made meanwhile.
    */
   private async revertIfReachable(
     announced: ChangeAnnouncement,
@@ -305,7 +305,7 @@
     return result.ok || result.err.kind !== 'conflict';
   }
 
-  /** Whether the lease lasts long enough for one more order. */
+  /** Whether the lease lasts long enough to order one more promotion. */
   private holdsLease(lease: CoordinatorLease): boolean {
     return (
       lease.fence === this.fence &&
--- a/packages/gateway/src/leadership/primary_stopper.ts
+++ b/packages/gateway/src/leadership/primary_stopper.ts
@@ -13,9 +13,9 @@
 
 /** How often VMs that have not answered are asked again to stop. */
 const STOP_RETRY_MS = 150;
-/** Longer than running statements may take to finish. */
+/** Longer than a VM lets running statements finish before it answers. */
 const STOP_TIMEOUT_MS = 900;
-const VIEW_INTERVAL_MS = 10;
+const VIEW_CHECK_INTERVAL_MS = 10;
 
 /** The store's answer to the write that announces a primary change. */
 export interface ChangeAnnouncement {
@@ -44,7 +44,7 @@
 
   /**
    * Waits until no VM uses the former primary; returns the last log position
-   * that any VM saw there.
+   * that any VM observed at it.
    */
   async stopAll(
     announced: ChangeAnnouncement,
@@ -93,7 +93,7 @@
       this.deps.view().version < announced.version &&
       this.mayAnyVmUsePrimary(announced)
     ) {
-      await sleep(VIEW_INTERVAL_MS);
+      await sleep(VIEW_CHECK_INTERVAL_MS);
     }
   }
 
--- a/packages/gateway/src/operators/directory_task.ts
+++ b/packages/gateway/src/operators/directory_task.ts
@@ -12,11 +12,14 @@
  * takes two steps to arrive, so each is half as long.
  */
 const SHARED_LIST_INTERVAL_MS = 1_000;
-/** A reader's list must not be older, or the VM reads the store itself. */
+/** If a reader's list is older than this, the VM reads the store itself. */
 const MAX_RELAYED_AGE_MS = 1_500;
 /** Key by which the VMs that read the store for all others are chosen. */
 const READERS_KEY = 'members';
-/** While a member does not answer, its entry may have changed. */
+/**
+ * The interval after a member did not answer and while one is missing from the
+ * list, as its entry may have changed.
+ */
 const URGENT_LIST_INTERVAL_MS = 400;
 const RETRY_INTERVAL_MS = 400;
 const PEER_TIMEOUT_MS = 400;
@@ -53,7 +56,7 @@
       readonly kind: 'relay';
       readonly reply: Reply<RelayedMembers | undefined>;
     }
-  /** A member does not answer, so that its entry should be read again soon. */
+  /** A member does not answer, so its entry is read again soon. */
   | {readonly kind: 'list-soon'}
   | {readonly kind: 'stop'};
 
--- a/packages/gateway/src/peers/gateway_handlers.ts
+++ b/packages/gateway/src/peers/gateway_handlers.ts
@@ -11,8 +11,8 @@
 /** Handles the remote procedures that peers call on this VM. */
 export abstract class GatewayHandlers {
   /**
-   * Stops the use of a primary; returns the last log position that this VM saw
-   * there.
+   * Stops the use of a primary; returns the last log position that this VM
+   * observed at it.
    */
   abstract stopPrimary(
     req: StopRequest,
--- a/packages/gateway/src/peers/peer_set.ts
+++ b/packages/gateway/src/peers/peer_set.ts
@@ -90,7 +90,10 @@
     return (this.peers.get(vm)?.failures ?? 0) >= MAX_CONSECUTIVE_FAILURES;
   }
 
-  /** Asks a VM to stop using a primary; returns its last log position there. */
+  /**
+   * Asks a VM to stop using a primary; returns the last log position that the VM
+   * observed at it.
+   */
   stopPrimary(
     vm: string,
     req: StopRequest,
--- a/packages/gateway/src/quota/quota_task.ts
+++ b/packages/gateway/src/quota/quota_task.ts
@@ -23,7 +23,7 @@
  */
 const START_PERIOD_MS = 2_000;
 const ASK_TIMEOUT_MS = 150;
-const TICK_MS = 20;
+const QUEUE_CHECK_INTERVAL_MS = 20;
 /** Interval at which the refusals of a workspace are logged as one record. */
 const REPORT_INTERVAL_MS = 5_000;
 
@@ -257,7 +257,7 @@
 
   /** Estimated time in milliseconds until a token is available, at most 1 s. */
   private untilNextToken(workspace: string, {limits, bucket}: Account): number {
-    const sharePpm = this.donorPpm(workspace);
+    const sharePpm = this.rateHolderPpm(workspace);
     const perSecond = (limits.rate * sharePpm) / FULL_SHARE_PPM;
     const missing = Math.max(0, 1 - bucket.tokens);
     return Math.min(
@@ -267,7 +267,7 @@
   }
 
   /** Share of the rate, in parts per million, that each rate holder has. */
-  private donorPpm(workspace: string): number {
+  private rateHolderPpm(workspace: string): number {
     const holderCount = this.deps.rateHolders(workspace).length;
     return holderCount > 0 ? FULL_SHARE_PPM / holderCount : 0;
   }
@@ -275,7 +275,7 @@
   private askPeers(workspace: string, account: Account, tokens: number): void {
     const {peers, rateHolders} = this.deps;
     const names = peers.sample(
-      requestedPeerCount(account.limits, this.donorPpm(workspace), tokens),
+      requestedPeerCount(account.limits, this.rateHolderPpm(workspace), tokens),
       account.donor,
       rateHolders(workspace),
     );
@@ -359,6 +359,6 @@
     this.ticker = setTimeout(() => {
       this.ticker = undefined;
       this.tell({kind: 'tick'});
-    }, TICK_MS);
+    }, QUEUE_CHECK_INTERVAL_MS);
   }
 }
--- a/packages/gateway/src/session/admit_filter.ts
+++ b/packages/gateway/src/session/admit_filter.ts
@@ -7,7 +7,10 @@
 
 /** The share of the latency target that a statement may wait for a token. */
 const TOKEN_WAIT_SHARE = 0.25;
-/** The same for a VM that has just started and holds no tokens yet. */
+/**
+ * The share of the latency target that a statement may wait for a token on a VM
+ * that has just started and holds none yet.
+ */
 const STARTUP_TOKEN_WAIT_SHARE = 0.8;
 
 /**
--- a/packages/gateway/src/session/session_message.ts
+++ b/packages/gateway/src/session/session_message.ts
@@ -19,7 +19,7 @@
   | {readonly kind: 'reconfigured'}
   /** The VM stops: the session closes as soon as no transaction is open. */
   | {readonly kind: 'drain'}
-  /** An open transaction is rolled back at once. */
+  /** Rolls back an open transaction at once. */
   | {readonly kind: 'abort-transaction'}
   /** The open transaction exceeded its idle timeout. */
   | {readonly kind: 'transaction-idle'};
