--- a/packages/core/src/leadership/__tests__/take_duty.test.ts
+++ b/packages/core/src/leadership/__tests__/take_duty.test.ts
@@ -3,7 +3,7 @@
   COORDINATOR_LEASE_MS,
   decideCoordinatorLease,
   holdsCoordinatorLease,
-} from '../coordinator_lease.js';
+} from '../take_duty.js';
 
 const HELD = {holder: 'vm-a', fence: 7, takenAt: 1_000};
 
--- a/packages/core/src/leadership/index.ts
+++ b/packages/core/src/leadership/index.ts
@@ -3,4 +3,4 @@
 export * from './primary_lease.js';
 export * from './store_clock.js';
 export * from './suspicion.js';
-export * from './coordinator_lease.js';
+export * from './take_duty.js';
