--- a/packages/gateway/src/leadership/__tests__/primary_change.test.ts
+++ b/packages/gateway/src/leadership/__tests__/primary_change.test.ts
@@ -54,7 +54,7 @@
   }
 }
 
-/** Peers that stop at once, or are unresponsive if in `silent`. */
+/** Peers that stop at once; those in `silent` do not respond. */
 class FakePeers extends PeerSet {
   readonly asked: string[] = [];
   readonly silent = new Set<string>();
@@ -190,7 +190,7 @@
   ],
 ];
 
-describe('Move', () => {
+describe('PrimaryChange', () => {
   // Guards against two promotions, an order without the coordinator lease, and
   // a primary change that never ends.
   it.each(CASES)('%s', async (unusedName, reason, setup) => {
