--- a/packages/entry/src/forward/__tests__/fakes.ts
+++ b/packages/entry/src/forward/__tests__/fakes.ts
@@ -14,7 +14,7 @@
 
 /** The context of a VM that serves. */
 export const CONTEXT = {
-  current: {version: 1, hash: '', configuration: undefined},
+  activeConfiguration: {version: 1, hash: '', configuration: undefined},
   confirmation: 'confirmed',
   lifecycle: 'serving',
 } as unknown as StatementContext;
