--- a/packages/gateway/src/testing/fake_member.ts
+++ b/packages/gateway/src/testing/fake_member.ts
@@ -61,7 +61,7 @@
   }
 
   override async open(): Promise<Result<void, LinkFault>> {
-    const {mode: mode} = this.member;
+    const {mode} = this.member;
     if (mode === 'silent' || mode === 'refuses-connections') {
       this.phase = 'closed';
       return fail({kind: 'not-sent', detail: 'no connection'});
