--- a/packages/launcher/src/__tests__/failover_faults.test.ts
+++ b/packages/launcher/src/__tests__/failover_faults.test.ts
@@ -12,7 +12,7 @@
 );
 const DATABASE = 'wash-ledger-1';
 const WAIT_MS = 15_000;
-/** Longer than CONFIRM_LIMIT_MS, so that confirmations and loans expire. */
+/** Longer than PROOF_VALIDITY_MS, so that confirmations and loans expire. */
 const PAUSE_MS = 7_000;
 /** The maximum age of the route `lookup`, 2,000 ms, and a margin. */
 const LOOKUP_AGE_MS = 2_200;
