--- a/packages/entry/src/daemon/entry_daemon.ts
+++ b/packages/entry/src/daemon/entry_daemon.ts
@@ -114,7 +114,7 @@
     this.lifecycle = new LifecycleTask({
       vm: vm.name,
       dataCentre: vm.data_centre,
-      onChanged: (reasons, before) => this.drainChanged(reasons, before),
+      onChanged: (reasons, before) => this.applyDrainReasons(reasons, before),
       onFault: err =>
         this.log.error({event: 'lifecycle.failed', err}, 'lifecycle'),
     });
@@ -137,7 +137,7 @@
         loan: req => this.quota.handleLoanRequest(req),
         report: report => this.groups.passOnReport(report),
       },
-      onView: view => this.viewChanged(view),
+      onView: view => this.applyMembership(view),
       onListed: vms => this.lifecycle.tell({kind: 'listed', vms}),
       local: database => this.groups.local(database),
       context: () => this.context(),
@@ -301,7 +301,7 @@
     this.notifyContextChanged();
   }
 
-  private drainChanged(
+  private applyDrainReasons(
     reasons: readonly DrainReason[],
     before: readonly DrainReason[],
   ): void {
@@ -320,7 +320,7 @@
     });
     this.quota.applyLifecycle(isDraining ? 'draining' : 'serving');
     // Only a VM that the platform lists as leaving leaves the fleet. A VM in a
-    // data centre that is out of service may return, so its peers keep it.
+    // data centre that is out of service may return, so it stays in the fleet.
     const isListed = reasons.includes('listed-leaving');
     if (isListed && !before.includes('listed-leaving')) void this.peers.leave();
     if (!isListed && before.includes('listed-leaving')) this.peers.rejoin();
@@ -340,6 +340,7 @@
     this.audit.tell({kind: 'record', entry});
   }
 
+  /** Builds the answer to `/status`. */
   private async report(): Promise<VmStatus> {
     const {vm} = this.settings;
     const views = await Promise.all(
@@ -361,7 +362,7 @@
     };
   }
 
-  private viewChanged(view: MembershipView): void {
+  private applyMembership(view: MembershipView): void {
     this.groups.applyMembership(view);
     this.configurationPeers.applyMembership(view);
     if (view.known.configuration > this.reportedConfigurationVersion) {
--- a/packages/entry/src/failover/__tests__/failover_task.test.ts
+++ b/packages/entry/src/failover/__tests__/failover_task.test.ts
@@ -29,7 +29,7 @@
   };
 }
 
-/** A group whose primary is unreachable and whose replicas obey every call. */
+/** A group whose primary is unreachable and whose replicas accept all calls. */
 class FakeGroup {
   private members: MemberView[] = NAMES.map((backendServer, index) => ({
     backendServer,
@@ -87,7 +87,12 @@
     },
   };
   const task = new FailoverTask(
-    {database: 'ledger', vm: 'v1', dataCentre: 'dc0', moveGraceMs: 30_000},
+    {
+      database: 'ledger',
+      vm: 'v1',
+      dataCentre: 'dc0',
+      switchoverGraceMs: 30_000,
+    },
     {
       group: new FakeGroup(note) as unknown as GroupTask,
       table: table as unknown as TableService,
